--- a/features/not_run_test.py
+++ b/features/not_run_test.py
@@ -94,7 +94,7 @@
 
 @when("the instance starts to drain")
 def drain_instance(world):
-    world.fleet.nodes[0].instance.life.start_drain()
+    world.fleet.nodes[0].instance.lifecycle.start_drain()
 
 
 class BreakingDesk:
--- a/rhubarblock/core/attemptid.py
+++ b/rhubarblock/core/attemptid.py
@@ -37,14 +37,14 @@
     return f"{_PREFIX}{owner}{_SEPARATOR}{number}"
 
 
-def read_request_id(attempt_id: str) -> str:
+def parse_request_id(attempt_id: str) -> str:
     """Returns the id of the request that an attempt belongs to."""
     return attempt_id.partition("/")[0]
 
 
 def parse_owner(attempt_id: str) -> Owner | None:
     """Returns who answers for an attempt; None for a name of another form."""
-    request_id = read_request_id(attempt_id)
+    request_id = parse_request_id(attempt_id)
     if not request_id.startswith(_PREFIX):
         return None
     parts = request_id[len(_PREFIX) :].rsplit(_SEPARATOR, 2)
--- a/rhubarblock/core/attemptid_test.py
+++ b/rhubarblock/core/attemptid_test.py
@@ -6,7 +6,7 @@
     request_id = attemptid.format_request_id(owner, 3)
     assert request_id == "cmpl-osu~hall-1~17~3"
     assert attemptid.parse_owner(f"{request_id}/2d") == owner
-    assert attemptid.read_request_id(f"{request_id}/2d") == request_id
+    assert attemptid.parse_request_id(f"{request_id}/2d") == request_id
 
 
 def test_other_names_have_no_owner():
--- a/rhubarblock/core/position.py
+++ b/rhubarblock/core/position.py
@@ -24,7 +24,7 @@
     def __bool__(self) -> bool:
         return self != NOWHERE
 
-    def may_copy(self, earlier: "Position") -> bool:
+    def may_be_copy_of(self, earlier: "Position") -> bool:
         """Says whether a state may be the older copy of an earlier one.
 
         A copy keeps its revision, and what is written in a new era gets one
--- a/rhubarblock/core/position_test.py
+++ b/rhubarblock/core/position_test.py
@@ -16,7 +16,7 @@
 
 def test_copy_is_told_from_what_is_written_in_a_new_era():
     earlier = Position(1, 40)
-    assert Position(2, 40).may_copy(earlier)
-    assert Position(3, 12).may_copy(earlier)
-    assert not Position(2, 41).may_copy(earlier)
-    assert not Position(1, 39).may_copy(earlier)
+    assert Position(2, 40).may_be_copy_of(earlier)
+    assert Position(3, 12).may_be_copy_of(earlier)
+    assert not Position(2, 41).may_be_copy_of(earlier)
+    assert not Position(1, 39).may_be_copy_of(earlier)
--- a/rhubarblock/core/ratelimit.py
+++ b/rhubarblock/core/ratelimit.py
@@ -17,4 +17,4 @@
     unreadable: str = ""
 
 
-NONE_STATED = StatedLimit()
+NO_STATED_LIMIT = StatedLimit()
--- a/rhubarblock/core/route.py
+++ b/rhubarblock/core/route.py
@@ -75,18 +75,18 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class EngineModel:
+class EngineCostModel:
     """What the steps of a model engine cost.
 
     Attributes:
       slots: requests that run at once.
-      memory_tokens: tokens of prompt and answer that fit into its memory.
+      kv_capacity_tokens: tokens of prompt and answer that fit into its memory.
       stride: token steps of a pass in which anything is being written.
       step_ms: milliseconds of a token step.
       sequence_ms: further milliseconds of a step for each request that writes.
       context_ms: further milliseconds of a step for each 1,000 tokens of
         context of a request that writes.
-      read_per_ms: prompt tokens read in a millisecond.
+      prefill_tokens_per_ms: prompt tokens read in a millisecond.
       pair_ms: milliseconds for each million pairs of a prompt token and an
         earlier one.
       chunk_tokens: prompt tokens read within one step at most.
@@ -94,17 +94,17 @@
     """
 
     slots: int
-    memory_tokens: int
+    kv_capacity_tokens: int
     stride: int
     step_ms: float
     sequence_ms: float
     context_ms: float
-    read_per_ms: float
+    prefill_tokens_per_ms: float
     pair_ms: float
     chunk_tokens: int
     hop_ms: float
 
-    def predict_read(self, tokens: int, parts: int = 1) -> float:
+    def predict_prefill(self, tokens: int, parts: int = 1) -> float:
         """Returns the seconds that one part of a prompt takes to read.
 
         Args:
@@ -112,7 +112,7 @@
           parts: engines that read an even part each.
         """
         pairs_m = tokens * tokens / 2e6
-        whole_ms = tokens / self.read_per_ms + pairs_m * self.pair_ms
+        whole_ms = tokens / self.prefill_tokens_per_ms + pairs_m * self.pair_ms
         return whole_ms / parts / 1e3
 
     def predict_stride(self, writers: int, context_tokens: int) -> float:
@@ -139,7 +139,7 @@
     name: str
     health_path: str
     max_connections: int
-    engine: EngineModel | None
+    engine: EngineCostModel | None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/rhubarblock/core/statement.py
+++ b/rhubarblock/core/statement.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class StatedRest:
+class StatedCooldown:
     """For how long an endpoint that turned a request away wants no other.
 
     Attributes:
@@ -19,7 +19,7 @@
     unreadable: str = ""
 
 
-NO_REST = StatedRest()
+NO_COOLDOWN = StatedCooldown()
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -28,13 +28,13 @@
 
     Attributes:
       limit: requests a second that it takes from all instances together.
-      rest: for how long it wants nothing from this instance.
+      cooldown: for how long it wants nothing from this instance.
       is_leaving: whether it is about to end and wants no new work.
       unknown: names of fields about the endpoint that the adapter doesn't know.
     """
 
-    limit: ratelimits.StatedLimit = ratelimits.NONE_STATED
-    rest: StatedRest = NO_REST
+    limit: ratelimits.StatedLimit = ratelimits.NO_STATED_LIMIT
+    cooldown: StatedCooldown = NO_COOLDOWN
     is_leaving: bool = False
     unknown: tuple[str, ...] = ()
 
--- a/rhubarblock/daemon/callerserver.py
+++ b/rhubarblock/daemon/callerserver.py
@@ -19,7 +19,7 @@
 from rhubarblock.core import failure as failures
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.daemon import connections
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.relay import apierrors
 from rhubarblock.relay import completionsapi
 from rhubarblock.relay import servicesapi
@@ -64,13 +64,13 @@
 
 
 def create_app(
-    apis: CallerApis, life: lives.InstanceLife, body_bytes: int
+    apis: CallerApis, lifecycle: lifecycles.InstanceLifecycle, body_bytes: int
 ) -> web.Application:
     """Returns the application for callers.
 
     Args:
       apis: what callers can ask for.
-      life: state of this instance.
+      lifecycle: state of this instance.
       body_bytes: largest body.
     """
 
@@ -78,9 +78,9 @@
         return web.json_response({"status": "ok"})
 
     async def answer_ready(http: web.Request) -> web.Response:
-        ready = life.state is lives.LifeState.READY
+        ready = lifecycle.state is lifecycles.LifecycleState.READY
         return web.json_response(
-            {"state": life.state.value}, status=200 if ready else 503
+            {"state": lifecycle.state.value}, status=200 if ready else 503
         )
 
     app = web.Application(
--- a/rhubarblock/daemon/edge.py
+++ b/rhubarblock/daemon/edge.py
@@ -19,9 +19,9 @@
 from rhubarblock.kernel import logs
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.platform import dialect as dialects
+from rhubarblock.platform import leaseclient
 from rhubarblock.platform import names
 from rhubarblock.platform import objectstore
-from rhubarblock.platform import orders
 from rhubarblock.platform import settings as settings_loader
 from rhubarblock.settings import exchange as settings_lib
 from rhubarblock.store import store as stores
@@ -90,7 +90,7 @@
         settings,
         dialects.PlatformDialect(),
         make_store,
-        orders.PlatformLeases,
+        leaseclient.PlatformLeaseClient,
         names.ATTEMPT_ID,
         random.Random(),
     )
--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -38,7 +38,7 @@
 from rhubarblock.exchange.state import follower as followers
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import countlog
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
@@ -91,7 +91,7 @@
           rng: source of jitter and choices.
         """
         self.settings = settings
-        self.life = lives.InstanceLife()
+        self.lifecycle = lifecycles.InstanceLifecycle()
         self.metrics = metric_store.Metrics()
         self.timers = timer_service.LoopTimers()
         self.authority = authorities.Authority(settings.bounds.revoke_s)
@@ -111,7 +111,7 @@
         self.book = enginebook.EngineBook()
         self.health = healths.Health(settings.data_centre)
         self.rests = rests.Rests(self.metrics)
-        self.eras = era_lib.EraWatch(self.metrics)
+        self.eras = era_lib.EraTracker(self.metrics)
         self._dialect = dialect
         self._make_store = make_store
         self._make_leases = make_leases
@@ -132,7 +132,7 @@
             await stop.wait()
             await plannedstop.PlannedStop(
                 self.settings.instance_id,
-                self.life,
+                self.lifecycle,
                 self._callers,
                 self.settings.bounds.grace_s,
                 self.timers,
@@ -280,7 +280,7 @@
             self._dialect,
             relay,
             self.state.listed,
-            self.life,
+            self.lifecycle,
             self.timers,
             self.metrics,
             self._rng,
@@ -295,7 +295,7 @@
             self.eras,
         )
         pages = statuspages.StatusPages(
-            self.life, self.authority, self.eras, self.timers, self.metrics
+            self.lifecycle, self.authority, self.eras, self.timers, self.metrics
         )
         self._callers = await stack.enter_async_context(
             listeners.open_listener(door.handle, settings.callers, KEEPALIVE_S)
@@ -377,7 +377,7 @@
                 {stopping, waiting}, return_when=asyncio.FIRST_COMPLETED
             )
             if waiting.done():
-                self._log_life(self.life.mark_ready)
+                self._log_lifecycle(self.lifecycle.mark_ready)
         finally:
             stopping.cancel()
             waiting.cancel()
@@ -388,5 +388,7 @@
         while await self.authority.wait_valid(LOOK_S) is None:
             pass
 
-    def _log_life(self, step: Callable[[], None]) -> None:
-        lives.log_step(_logger, self.life, self.settings.instance_id, step)
+    def _log_lifecycle(self, step: Callable[[], None]) -> None:
+        lifecycles.log_transition(
+            _logger, self.lifecycle, self.settings.instance_id, step
+        )
--- a/rhubarblock/daemon/fleetstatus.py
+++ b/rhubarblock/daemon/fleetstatus.py
@@ -43,9 +43,9 @@
             revision = member.revision
             in_flight = None
             if member.instance_id == own:
-                state = self._instance.life.state.value
+                state = self._instance.lifecycle.state.value
                 revision = self._instance.catalogue.get_revision()
-                in_flight = self._instance.life.in_flight
+                in_flight = self._instance.lifecycle.in_flight
             found.append(
                 statuses.InstanceStatus(
                     member.instance_id,
@@ -178,10 +178,10 @@
         own = self._instance.identity.instance_id
         if target.name != own:
             raise _refuse(f"ask instance {target.name} itself; this is {own}")
-        life = self._instance.life
-        life.start_drain()
-        state = "draining" if life.in_flight else "drained"
-        return statuses.DrainStatus("instance", own, state, life.in_flight)
+        lifecycle = self._instance.lifecycle
+        lifecycle.start_drain()
+        state = "draining" if lifecycle.in_flight else "drained"
+        return statuses.DrainStatus("instance", own, state, lifecycle.in_flight)
 
 
 def _refuse(message: str) -> failures.FailureError:
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -32,7 +32,7 @@
 from rhubarblock.fleet.membership import detection
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.fleet.membership import membership as memberships
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import registry as registries
 from rhubarblock.relay import crashes
@@ -68,7 +68,7 @@
       identity: who it is.
       settings: its settings.
       outside: its clients of platform and endpoints.
-      life: its state.
+      lifecycle: its state.
       metrics: its counters.
       membership: its view of the others.
       holders: who holds which duty.
@@ -107,7 +107,7 @@
         self.identity = promptparts.Identity(
             settings.instance.id, incarnation, settings.instance.data_centre
         )
-        self.life = lives.InstanceLife()
+        self.lifecycle = lifecycles.InstanceLifecycle()
         self.metrics = metric_store.Metrics()
         self.caller: servicecalls.ServiceCaller
         self._transport = port.transport
@@ -263,7 +263,7 @@
         self.parts = promptparts.PromptParts(
             self.identity,
             around,
-            self.life,
+            self.lifecycle,
             self.metrics,
             self.guard,
             fairqueue.QueueSettings(bounds.queue_entries, bounds.queue_bytes),
@@ -357,26 +357,28 @@
     def _mark_ready_with_catalogue(self) -> None:
         """Takes callers once there is a catalogue that says who they are."""
         if self.catalogue.revision:
-            self._log_life(self.life.mark_ready)
+            self._log_lifecycle(self.lifecycle.mark_ready)
         else:
             self.catalogue.subscribe(self._take_first_catalogue)
 
     def _take_first_catalogue(self, catalogue: catalogues.Catalogue) -> None:
         del catalogue
-        if self.life.state is lives.LifeState.STARTING:
-            self._log_life(self.life.mark_ready)
+        if self.lifecycle.state is lifecycles.LifecycleState.STARTING:
+            self._log_lifecycle(self.lifecycle.mark_ready)
 
     async def _stop(self) -> None:
         """Refuses new work, lets requests end, tells the peers."""
-        self._log_life(self.life.start_drain)
-        whole = await self.life.drain(self.settings.drain.deadline_s)
+        self._log_lifecycle(self.lifecycle.start_drain)
+        whole = await self.lifecycle.drain(self.settings.drain.deadline_s)
         if not whole:
-            self.metrics.count("instance.cut", self.life.in_flight)
+            self.metrics.count("instance.cut", self.lifecycle.in_flight)
         await self.parts.cleanup.wait()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 await self.membership.leave()
-        self._log_life(self.life.mark_stopped)
+        self._log_lifecycle(self.lifecycle.mark_stopped)
 
-    def _log_life(self, step: Callable[[], None]) -> None:
-        lives.log_step(_logger, self.life, self.identity.instance_id, step)
+    def _log_lifecycle(self, step: Callable[[], None]) -> None:
+        lifecycles.log_transition(
+            _logger, self.lifecycle, self.identity.instance_id, step
+        )
--- a/rhubarblock/daemon/loopbackfleet_test.py
+++ b/rhubarblock/daemon/loopbackfleet_test.py
@@ -89,7 +89,7 @@
             parts = running.instance.parts
             await wait_until(
                 lambda parts=parts: (
-                    not parts.life.in_flight
+                    not parts.lifecycle.in_flight
                     and not parts.queue.waiting
                     and not any(x.grants for x in parts.table.list_all())
                 )
--- a/rhubarblock/daemon/peersearch.py
+++ b/rhubarblock/daemon/peersearch.py
@@ -45,7 +45,7 @@
         peers: peer_table.PeerTable,
         news: news_lib.News,
         timers: timer_service.Timers,
-        eras: era_lib.EraWatch,
+        eras: era_lib.EraTracker,
         metrics: metric_store.Metrics,
     ):
         """Creates a search; ``run`` makes it.
--- a/rhubarblock/daemon/plannedstop.py
+++ b/rhubarblock/daemon/plannedstop.py
@@ -10,7 +10,7 @@
 import logging
 
 from rhubarblock.daemon import listener as listeners
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import timers as timer_service
 
 # Seconds after the signal to stop for which new connections are still taken:
@@ -27,12 +27,18 @@
 class PlannedStop:
     """Stops one instance without cutting a request."""
 
-    __slots__ = ("_callers", "_grace_s", "_instance_id", "_life", "_timers")
+    __slots__ = (
+        "_callers",
+        "_grace_s",
+        "_instance_id",
+        "_lifecycle",
+        "_timers",
+    )
 
     def __init__(
         self,
         instance_id: str,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         callers: listeners.Listener,
         grace_s: float,
         timers: timer_service.Timers,
@@ -41,13 +47,13 @@
 
         Args:
           instance_id: name of the instance.
-          life: its state and the count of its handlers.
+          lifecycle: its state and the count of its handlers.
           callers: where its callers connect.
           grace_s: seconds from the signal to stop to the kill.
           timers: the clock.
         """
         self._instance_id = instance_id
-        self._life = life
+        self._lifecycle = lifecycle
         self._callers = callers
         self._grace_s = grace_s
         self._timers = timers
@@ -58,7 +64,7 @@
         Idle connections are closed when the balancer knows: a caller that kept
         one would else send a request so late that it could not end in time.
         """
-        self._log_life(self._life.start_drain)
+        self._log_lifecycle(self._lifecycle.start_drain)
         length_s = max(0.0, self._grace_s - EXIT_S)
         latest_s = self._timers.read_monotonic() + length_s
         await self._timers.sleep(min(LEAVE_S, LEAVE_PART * length_s))
@@ -69,15 +75,15 @@
                 latest_s - self._timers.read_monotonic()
             ):
                 await self._callers.wait_closed()
-                await self._life.wait_idle()
+                await self._lifecycle.wait_idle()
         except TimeoutError:
             _logger.warning(
-                "requests cut", extra={"count": self._life.in_flight}
+                "requests cut", extra={"count": self._lifecycle.in_flight}
             )
         self._log_connections("closing connections")
         # What is cut gives back now what it holds elsewhere.
         self._callers.abort()
-        self._log_life(self._life.mark_stopped)
+        self._log_lifecycle(self._lifecycle.mark_stopped)
 
     def _log_connections(self, message: str) -> None:
         """Tells what callers' connections owe at a step of the stop."""
@@ -88,9 +94,11 @@
                 "idle": counts.idle,
                 "reading": counts.reading,
                 "answering": counts.answering,
-                "in_flight": self._life.in_flight,
+                "in_flight": self._lifecycle.in_flight,
             },
         )
 
-    def _log_life(self, step: Callable[[], None]) -> None:
-        lives.log_step(_logger, self._life, self._instance_id, step)
+    def _log_lifecycle(self, step: Callable[[], None]) -> None:
+        lifecycles.log_transition(
+            _logger, self._lifecycle, self._instance_id, step
+        )
--- a/rhubarblock/daemon/plannedstop_test.py
+++ b/rhubarblock/daemon/plannedstop_test.py
@@ -12,7 +12,7 @@
 from rhubarblock.daemon import memorytransport_test
 from rhubarblock.daemon import plannedstop
 from rhubarblock.exchange import fakeparts_test as fakes
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
 from rhubarblock.platform import names
@@ -133,9 +133,9 @@
       runs: requests that were handed to the handler.
     """
 
-    def __init__(self, life, run_s):
+    def __init__(self, lifecycle, run_s):
         super().__init__(keepalive_s=20.0)
-        self._life = life
+        self._lifecycle = lifecycle
         self._run_s = run_s
         self.runs = 0
         self.server = web.Server(self.handle, handler_cancellation=True)
@@ -151,25 +151,25 @@
         return memorytransport_test.MemoryTransport(self.connect(self.server))
 
     async def handle(self, request):
-        with self._life.hold_request():
+        with self._lifecycle.track_request():
             await request.content.read()
             self.runs += 1
             await asyncio.sleep(self._run_s)
             response = web.Response(body=b"late")
-            if self._life.state is lives.LifeState.DRAINING:
+            if self._lifecycle.state is lifecycles.LifecycleState.DRAINING:
                 response.force_close()
             return response
 
 
 async def send_during_stop(moment_s, run_s, pieces, is_open):
     """Sends a request after the signal to stop; returns what came of it."""
-    life = lives.InstanceLife()
-    life.mark_ready()
-    listener = MemoryListener(life, run_s)
+    lifecycle = lifecycles.InstanceLifecycle()
+    lifecycle.mark_ready()
+    listener = MemoryListener(lifecycle, run_s)
     opened = listener.connect_caller() if is_open else None
     loop = asyncio.get_running_loop()
     stop = plannedstop.PlannedStop(
-        "i1", life, listener, GRACE_S, timer_service.LoopTimers()
+        "i1", lifecycle, listener, GRACE_S, timer_service.LoopTimers()
     )
     running = asyncio.ensure_future(stop.run())
     await asyncio.sleep(moment_s)
@@ -212,15 +212,15 @@
 
 def test_answer_to_a_caller_that_is_gone_does_not_hold_a_stop():
     async def main():
-        life = lives.InstanceLife()
-        life.mark_ready()
-        listener = MemoryListener(life, 3.0)
+        lifecycle = lifecycles.InstanceLifecycle()
+        lifecycle.mark_ready()
+        listener = MemoryListener(lifecycle, 3.0)
         caller = listener.connect_caller()
         caller.receive(HEAD + BODY)
         await asyncio.sleep(0.1)
         caller.close()
         await plannedstop.PlannedStop(
-            "i1", life, listener, GRACE_S, timer_service.LoopTimers()
+            "i1", lifecycle, listener, GRACE_S, timer_service.LoopTimers()
         ).run()
         return asyncio.get_running_loop().time()
 
@@ -230,20 +230,24 @@
 @pytest.mark.parametrize("grace_s", [1.0, 2.0, GRACE_S])
 def test_request_that_outlasts_the_grace_is_cut_within_it(grace_s):
     async def main():
-        life = lives.InstanceLife()
-        life.mark_ready()
-        listener = MemoryListener(life, 100.0)
+        lifecycle = lifecycles.InstanceLifecycle()
+        lifecycle.mark_ready()
+        listener = MemoryListener(lifecycle, 100.0)
         listener.connect_caller().receive(HEAD + BODY)
         await plannedstop.PlannedStop(
-            "i1", life, listener, grace_s, timer_service.LoopTimers()
+            "i1", lifecycle, listener, grace_s, timer_service.LoopTimers()
         ).run()
         # The handler gives back what it holds before the exit begins.
         await asyncio.sleep(0.01)
-        return asyncio.get_running_loop().time(), life.state, life.in_flight
+        return (
+            asyncio.get_running_loop().time(),
+            lifecycle.state,
+            lifecycle.in_flight,
+        )
 
     ended_s, state, in_flight = virtualloop.run(main())
     assert ended_s == pytest.approx(grace_s - plannedstop.EXIT_S, abs=0.02)
-    assert (state, in_flight) == (lives.LifeState.STOPPED, 0)
+    assert (state, in_flight) == (lifecycles.LifecycleState.STOPPED, 0)
 
 
 def test_request_behind_another_one_of_a_draining_instance_is_answered():
--- a/rhubarblock/daemon/promptparts.py
+++ b/rhubarblock/daemon/promptparts.py
@@ -17,7 +17,7 @@
 from rhubarblock.core import request as requests
 from rhubarblock.fleet import engineclient
 from rhubarblock.fleet import peertransport
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import cleanup as cleanups
@@ -96,7 +96,7 @@
 
     Attributes:
       identity: this instance.
-      life: its state.
+      lifecycle: its state.
       metrics: its counters.
       table: its view of the engines' load.
       ledger: the grants that it counts.
@@ -115,7 +115,7 @@
         "cleanup",
         "identity",
         "ledger",
-        "life",
+        "lifecycle",
         "metrics",
         "placement",
         "queue",
@@ -128,13 +128,13 @@
         self,
         identity: Identity,
         around: Surroundings,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         metrics: metric_store.Metrics,
         guard: guards.Guard,
         queue_settings: fairqueue.QueueSettings,
     ):
         self.identity = identity
-        self.life = life
+        self.lifecycle = lifecycle
         self.metrics = metrics
         self._around = around
         self.table = loadtable.LoadTable()
@@ -174,7 +174,7 @@
             self.admission, self.queue, self.placement, predictor
         )
         return promptrelay.PromptRelay(
-            self.life,
+            self.lifecycle,
             routing,
             tries.TryRunner(
                 str(self.identity.owner),
--- a/rhubarblock/daemon/server.py
+++ b/rhubarblock/daemon/server.py
@@ -130,7 +130,7 @@
 ) -> Server:
     bounds = instance.settings.limits
     app = callerserver.create_app(
-        _make_apis(instance), instance.life, bounds.body_bytes
+        _make_apis(instance), instance.lifecycle, bounds.body_bytes
     )
     caller_address = await stack.enter_async_context(
         callerserver.run_server(
@@ -163,7 +163,7 @@
     return callerserver.CallerApis(
         completionsapi.CompletionsApi(instance.parts.relay, context),
         servicesapi.ServicesApi(
-            instance.caller, instance.limiter, instance.life, context
+            instance.caller, instance.limiter, instance.lifecycle, context
         ),
     )
 
--- a/rhubarblock/daemon/statuspages.py
+++ b/rhubarblock/daemon/statuspages.py
@@ -4,7 +4,7 @@
 
 from rhubarblock.exchange.state import authority as authorities
 from rhubarblock.kernel import exposition
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.store import era as era_lib
@@ -13,26 +13,26 @@
 class StatusPages:
     """Handlers of the readiness and the metrics address."""
 
-    __slots__ = ("_authority", "_eras", "_life", "_metrics", "_timers")
+    __slots__ = ("_authority", "_eras", "_lifecycle", "_metrics", "_timers")
 
     def __init__(
         self,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         authority: authorities.Authority,
-        eras: era_lib.EraWatch,
+        eras: era_lib.EraTracker,
         timers: timer_service.LoopTimers,
         metrics: metric_store.Metrics,
     ):
         """Creates the pages of one instance.
 
         Args:
-          life: its state.
+          lifecycle: its state.
           authority: the configuration in force.
           eras: the store's era.
           timers: counts wake-ups.
           metrics: counters to show.
         """
-        self._life = life
+        self._lifecycle = lifecycle
         self._authority = authority
         self._eras = eras
         self._timers = timers
@@ -44,7 +44,7 @@
         """Answers 200 while new connections are wanted."""
         del request
         ready = (
-            self._life.state is lives.LifeState.READY
+            self._lifecycle.state is lifecycles.LifecycleState.READY
             and self._authority.find_valid() is not None
         )
         return web.Response(status=200 if ready else 503)
@@ -55,7 +55,7 @@
         """Answers with all counters as text."""
         del request
         for name, value in (
-            ("exchange.in_flight", self._life.in_flight),
+            ("exchange.in_flight", self._lifecycle.in_flight),
             ("timers.wakeups", self._timers.wakeups),
             ("configuration.version", self._authority.version),
             ("configuration.age_s", self._authority.age_s),
--- a/rhubarblock/exchange/attempts.py
+++ b/rhubarblock/exchange/attempts.py
@@ -54,7 +54,7 @@
         )
         self.at_fault = fields.at_fault
         self.misdirected = fields.misdirected
-        self.rest_s = fields.statement.rest.length_s
+        self.rest_s = fields.statement.cooldown.length_s
 
 
 class ClosedError(failures.FailureError):
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -121,7 +121,7 @@
           stated: what its head says.
           sent_s: when the request was sent, in monotonic seconds.
         """
-        if stated != ratelimits.NONE_STATED:
+        if stated != ratelimits.NO_STATED_LIMIT:
             self.note_answer(endpoint_id, stated, sent_s)
 
     def find_rate(self, endpoint_id: str) -> float | None:
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -29,7 +29,7 @@
 from rhubarblock.exchange.state import authority as authorities
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.platform import dialect as platform_dialect
@@ -43,14 +43,14 @@
 ATTEMPT = names.ATTEMPT_ID
 SEAL = names.SEAL
 
-MODEL = routes.EngineModel(
+MODEL = routes.EngineCostModel(
     slots=8,
-    memory_tokens=450_000,
+    kv_capacity_tokens=450_000,
     stride=46,
     step_ms=0.925,
     sequence_ms=0.00966,
     context_ms=0.00254,
-    read_per_ms=256.0,
+    prefill_tokens_per_ms=256.0,
     pair_ms=0.0917,
     chunk_tokens=2048,
     hop_ms=0.1,
@@ -265,7 +265,7 @@
         self.book = enginebook.EngineBook()
         self.health = healths.Health("osu-hall")
         self.metrics = metric_store.Metrics()
-        self.life = lives.InstanceLife()
+        self.lifecycle = lifecycles.InstanceLifecycle()
         self.listed = asyncio.Event()
         self.listed.set()
         self.authority = authorities.Authority(BOUNDS.revoke_s)
@@ -354,7 +354,7 @@
             self.dialect,
             self.relay,
             self.listed,
-            self.life,
+            self.lifecycle,
             self.timers,
             self.metrics,
             rng,
@@ -377,7 +377,7 @@
 @contextlib.asynccontextmanager
 async def open_callers(parts, table, seed=1):
     """Lets callers in; gives the URL of the instance."""
-    parts.life.mark_ready()
+    parts.lifecycle.mark_ready()
     if table is not None:
         parts.authority.install(table, parts.authority.read_clock())
     door = parts.make_door(random.Random(seed))
--- a/rhubarblock/exchange/frontdoor.py
+++ b/rhubarblock/exchange/frontdoor.py
@@ -15,7 +15,7 @@
 from rhubarblock.exchange import relay as relays
 from rhubarblock.exchange import sink as sinks
 from rhubarblock.exchange.state import authority as authorities
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import apierrors
@@ -39,7 +39,7 @@
     __slots__ = (
         "_authority",
         "_dialect",
-        "_life",
+        "_lifecycle",
         "_listed",
         "_metrics",
         "_relay",
@@ -53,7 +53,7 @@
         dialect: dialects.Dialect,
         relay: relays.ExchangeRelay,
         listed: asyncio.Event,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
         rng: random.Random,
@@ -65,7 +65,7 @@
           dialect: spelling of heads.
           relay: serves exchanges.
           listed: set once endpoints are known.
-          life: counts requests in flight.
+          lifecycle: counts requests in flight.
           timers: the clock.
           metrics: counters.
           rng: parts requests between the services of a route.
@@ -74,7 +74,7 @@
         self._dialect = dialect
         self._relay = relay
         self._listed = listed
-        self._life = life
+        self._lifecycle = lifecycle
         self._timers = timers
         self._metrics = metrics
         self._rng = rng
@@ -82,9 +82,9 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serves one request of a caller."""
         arrived_s = self._timers.read_monotonic()
-        sink = HttpSink(request, self._life)
+        sink = HttpSink(request, self._lifecycle)
         self._metrics.count("exchange.requests")
-        with self._life.hold_request():
+        with self._lifecycle.track_request():
             try:
                 exchange = await self._check(request, arrived_s)
                 await self._relay.serve(exchange, sink)
@@ -123,7 +123,7 @@
         if failure.retry_after_s is not None:
             # Callers here read fractions, which spread them better.
             response.headers["Retry-After"] = f"{failure.retry_after_s:g}"
-        if _is_last(request, self._life):
+        if _is_last(request, self._lifecycle):
             response.force_close()
         return response
 
@@ -201,11 +201,13 @@
 class HttpSink(sinks.Sink):
     """Writes an answer to a caller's connection."""
 
-    __slots__ = ("_life", "_request", "response")
+    __slots__ = ("_lifecycle", "_request", "response")
 
-    def __init__(self, request: web.BaseRequest, life: lives.InstanceLife):
+    def __init__(
+        self, request: web.BaseRequest, lifecycle: lifecycles.InstanceLifecycle
+    ):
         self._request = request
-        self._life = life
+        self._lifecycle = lifecycle
         self.response: web.StreamResponse | None = None
 
     @property
@@ -225,7 +227,7 @@
             response.enable_chunked_encoding()
         else:
             response.content_length = length
-        if _is_last(self._request, self._life):
+        if _is_last(self._request, self._lifecycle):
             response.force_close()
         self.response = response
         await response.prepare(self._request)
@@ -247,12 +249,14 @@
             transport.close()
 
 
-def _is_last(request: web.BaseRequest, life: lives.InstanceLife) -> bool:
+def _is_last(
+    request: web.BaseRequest, lifecycle: lifecycles.InstanceLifecycle
+) -> bool:
     """Says whether a connection is to close after the answer to a request.
 
     One that was sent behind it and has been read is answered first.
     """
-    if life.state is not lives.LifeState.DRAINING:
+    if lifecycle.state is not lifecycles.LifecycleState.DRAINING:
         return False
     return not request.protocol._messages
 
--- a/rhubarblock/exchange/frontdoor_test.py
+++ b/rhubarblock/exchange/frontdoor_test.py
@@ -138,7 +138,7 @@
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with open_door(endpoint) as (parts, session, url):
-            parts.life.start_drain()
+            parts.lifecycle.start_drain()
             async with session.post(
                 url + "/a/x", headers=make_headers()
             ) as answer:
@@ -166,7 +166,7 @@
             await asyncio.gather(task, return_exceptions=True)
             async with asyncio.timeout(5.0):
                 await endpoint.closed.wait()
-                while parts.life.in_flight:
+                while parts.lifecycle.in_flight:
                     await asyncio.sleep(0.01)
 
     asyncio.run(main())
@@ -181,7 +181,7 @@
             asked = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
-            while not parts.life.in_flight:
+            while not parts.lifecycle.in_flight:
                 await asyncio.sleep(0.001)
             parts.add_endpoints(endpoint)
             parts.listed.set()
@@ -197,7 +197,7 @@
             asked = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
-            while not parts.life.in_flight:
+            while not parts.lifecycle.in_flight:
                 await asyncio.sleep(0.001)
             parts.authority.install(TABLE, parts.authority.read_clock())
             return (await asked).status
--- a/rhubarblock/exchange/leases_test.py
+++ b/rhubarblock/exchange/leases_test.py
@@ -28,7 +28,7 @@
         self.late_s = late_s
         self.until_s = {}
         self.orders = 0
-        self.limit = ratelimits.NONE_STATED
+        self.limit = ratelimits.NO_STATED_LIMIT
 
     async def reserve(self, endpoint, order):
         self.orders += 1
@@ -167,7 +167,7 @@
         )
         async with holder.hold(WANTED):
             named = limits.find_rate("e1")
-            engines.limit = ratelimits.NONE_STATED
+            engines.limit = ratelimits.NO_STATED_LIMIT
             await timers.sleep(10.0)
             # Only answers to requests tell that a limit ended.
             return named, limits.find_rate("e1")
--- a/rhubarblock/exchange/peering/limitnews_test.py
+++ b/rhubarblock/exchange/peering/limitnews_test.py
@@ -57,7 +57,7 @@
         first.limits.note_answer("e1", NAMED, 0.0)
         await news_test.wait_for(lambda: find_rate(second) == 50.0)
         sent_s = asyncio.get_running_loop().time()
-        second.limits.note_answer("e1", ratelimits.NONE_STATED, sent_s)
+        second.limits.note_answer("e1", ratelimits.NO_STATED_LIMIT, sent_s)
         await news_test.wait_for(lambda: find_rate(first) is None)
 
     run(step)
--- a/rhubarblock/exchange/placer.py
+++ b/rhubarblock/exchange/placer.py
@@ -318,7 +318,7 @@
         self,
         prompt: prompts.Prompt,
         endpoints: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> Iterator[places.Place | None]:
         self._book.expire(now_s)
@@ -338,7 +338,7 @@
             self._news.tell_ended(choice.job)
 
 
-def _find_model(exchange: exchanges.Exchange) -> routes.EngineModel | None:
+def _find_model(exchange: exchanges.Exchange) -> routes.EngineCostModel | None:
     """Returns what the steps of its engines cost; None for a plain call."""
     return exchange.service.engine if exchange.prompt_tokens else None
 
--- a/rhubarblock/exchange/state/feed.py
+++ b/rhubarblock/exchange/state/feed.py
@@ -94,7 +94,7 @@
         subsets_: subsets.Subsets,
         source: str,
         metrics: metric_store.Metrics,
-        eras: era_lib.EraWatch,
+        eras: era_lib.EraTracker,
     ):
         """Creates a server.
 
@@ -252,7 +252,7 @@
         directory: directories.Directory,
         authority: authorities.Authority,
         timers: timer_service.Timers,
-        eras: era_lib.EraWatch,
+        eras: era_lib.EraTracker,
     ):
         """Creates a client; the caller closes the session.
 
--- a/rhubarblock/exchange/state/feed_test.py
+++ b/rhubarblock/exchange/state/feed_test.py
@@ -63,7 +63,7 @@
         self.book = statebook.StateBook(
             Dialect(), self.authority, self.directory, timers
         )
-        self.eras = era_lib.EraWatch(metric_store.Metrics())
+        self.eras = era_lib.EraTracker(metric_store.Metrics())
         self.eras.listen(self.book.begin_era)
         self.subsets = subsets.Subsets(self.directory, engines)
         self.server = statefeed.StateServer(
--- a/rhubarblock/exchange/state/follower.py
+++ b/rhubarblock/exchange/state/follower.py
@@ -132,7 +132,7 @@
         pace: Pace,
         timers: timer_service.Timers,
         rng: random.Random,
-        eras: era_lib.EraWatch,
+        eras: era_lib.EraTracker,
     ):
         """Creates a follower; ``run`` sets it going.
 
--- a/rhubarblock/exchange/state/removals.py
+++ b/rhubarblock/exchange/state/removals.py
@@ -106,7 +106,7 @@
 
     def _is_copy(self, stored: stores.StoredObject) -> bool:
         removed = self._removed.find(stored.name)
-        return bool(removed) and stored.version.may_copy(removed)
+        return bool(removed) and stored.version.may_be_copy_of(removed)
 
     def _end_hold(self, stored: stores.StoredObject) -> None:
         # A later return may have begun another hold of the same entry.
--- a/rhubarblock/exchange/statements.py
+++ b/rhubarblock/exchange/statements.py
@@ -81,7 +81,10 @@
         """
         if fields.misdirected:
             return
-        if not fields.refused and fields.statement.rest == statements.NO_REST:
+        if (
+            not fields.refused
+            and fields.statement.cooldown == statements.NO_COOLDOWN
+        ):
             self._rests.note_taken(endpoint.endpoint_id)
         if fields.refused or not fields.sealed:
             self.note_order(endpoint, fields.statement, sent_s)
@@ -112,31 +115,33 @@
     ) -> None:
         if statement is statements.NOTHING:
             return
-        self._note_rest(endpoint, statement.rest)
+        self._note_rest(endpoint, statement.cooldown)
         if statement.is_leaving:
             self._note_leaving(endpoint)
         self._tell_unknown(endpoint, statement.unknown)
 
     def _note_rest(
-        self, endpoint: lists.ListedEndpoint, rest: statements.StatedRest
+        self,
+        endpoint: lists.ListedEndpoint,
+        cooldown: statements.StatedCooldown,
     ) -> None:
-        if rest.unreadable:
+        if cooldown.unreadable:
             self._metrics.count("rests.unreadable")
             _logger.warning(
                 "rest of an endpoint can't be read",
                 extra={
                     "endpoint": endpoint.endpoint_id,
-                    "text": rest.unreadable[:SHOWN_CHARACTERS],
+                    "text": cooldown.unreadable[:SHOWN_CHARACTERS],
                 },
             )
-        if rest.length_s:
+        if cooldown.length_s:
             now_s = self._timers.read_monotonic()
-            self._rests.note(endpoint.endpoint_id, rest.length_s, now_s)
+            self._rests.note(endpoint.endpoint_id, cooldown.length_s, now_s)
             _logger.info(
                 "endpoint asks for rest",
                 extra={
                     "endpoint": endpoint.endpoint_id,
-                    "rest_s": rest.length_s,
+                    "rest_s": cooldown.length_s,
                 },
             )
 
--- a/rhubarblock/exchange/statements_test.py
+++ b/rhubarblock/exchange/statements_test.py
@@ -88,9 +88,9 @@
     """Ask for rest in answer to orders."""
 
     async def reserve(self, endpoint, order):
-        rest = statements.StatedRest(600.0)
+        cooldown = statements.StatedCooldown(600.0)
         return dialects.LeaseReply(
-            dialects.LeaseAnswer.DONE, statements.Statement(rest=rest)
+            dialects.LeaseAnswer.DONE, statements.Statement(cooldown=cooldown)
         )
 
 
--- a/rhubarblock/experiments/endpointlimits/fleet_test.py
+++ b/rhubarblock/experiments/endpointlimits/fleet_test.py
@@ -82,7 +82,7 @@
     async def step():
         fleet = fleets.LimitFleet(7, limited(1.0))
         await fleet.load(fleet.limits, 20.0, 5.0)
-        fleet.stated = ratelimits.NONE_STATED
+        fleet.stated = ratelimits.NO_STATED_LIMIT
         await fleet.load(fleet.limits, 20.0, 5.0)
         await asyncio.sleep(1.0)
         return [x.find_rate(ENDPOINT_ID) for x in fleet.limits.values()]
@@ -178,7 +178,7 @@
         await fleet.call("i0")
         await fleet.call("i1")
         await asyncio.sleep(3.0)
-        fleet.stated = ratelimits.NONE_STATED
+        fleet.stated = ratelimits.NO_STATED_LIMIT
         await fleet.load(["i0"], 10.0, 4.0)
         fleet.sides = []
         await fleet.load(["i1"], 10.0, 4.0)
--- a/rhubarblock/experiments/platform/mix.py
+++ b/rhubarblock/experiments/platform/mix.py
@@ -80,7 +80,7 @@
     kinds: tuple[Kind, Kind, Kind]
     engines: tuple[int, ...]
     instances: tuple[int, ...]
-    model: routes.EngineModel
+    model: routes.EngineCostModel
     cross_s: float
     link_bps: float = 1e9
     engines_each: int = subsets.ENGINES_EACH
@@ -91,14 +91,14 @@
 WAVES = ((0.36, 1.3, 2.85), (2.4, 0.5, 0.05))
 WAVE_S = 9.5
 
-_ENGINE = routes.EngineModel(
+_ENGINE = routes.EngineCostModel(
     slots=8,
-    memory_tokens=450_000,
+    kv_capacity_tokens=450_000,
     stride=46,
     step_ms=0.925,
     sequence_ms=0.00483,
     context_ms=0.00254,
-    read_per_ms=256.0,
+    prefill_tokens_per_ms=256.0,
     pair_ms=0.0917,
     chunk_tokens=2048,
     hop_ms=0.1,
--- a/rhubarblock/experiments/storereturn/fleet.py
+++ b/rhubarblock/experiments/storereturn/fleet.py
@@ -153,7 +153,7 @@
     async def _keep_listed(self, member: Member) -> None:
         """Runs what an instance of the product runs."""
         metrics = metric_store.Metrics()
-        eras = era_lib.EraWatch(metrics)
+        eras = era_lib.EraTracker(metrics)
         eras.take(backstore.COPY_ERA)
         settings = member.settings
         search = peersearch.PeerSearch(
@@ -213,5 +213,5 @@
             return
 
 
-def _hear(eras: era_lib.EraWatch) -> None:
+def _hear(eras: era_lib.EraTracker) -> None:
     eras.take(backstore.ERA)
--- a/rhubarblock/fleet/endpoints.py
+++ b/rhubarblock/fleet/endpoints.py
@@ -87,7 +87,7 @@
 
     __slots__ = (
         "endpoint",
-        "life",
+        "lifecycle",
         "hold_down",
         "report",
         "reported_s",
@@ -99,7 +99,7 @@
         self, endpoint: endpoints.Endpoint, settings: EndpointSettings
     ):
         self.endpoint = endpoint
-        self.life = endpointlife.EndpointLife(endpoint.endpoint_id)
+        self.lifecycle = endpointlife.EndpointLife(endpoint.endpoint_id)
         self.hold_down = holddown.HoldDown(settings.hold_down)
         self.report: endpoints.LoadReport | None = None
         self.reported_s = float("-inf")
@@ -109,7 +109,7 @@
     @property
     def is_open(self) -> bool:
         """Whether it takes new work at all."""
-        return self.life.state not in _CLOSED_STATES
+        return self.lifecycle.state not in _CLOSED_STATES
 
     @property
     def was_seen_since(self) -> bool:
@@ -181,13 +181,13 @@
         if entry is None:
             return
         entry.seen_s = self._timers.read_monotonic()
-        state = entry.life.state
+        state = entry.lifecycle.state
         if state is _State.READY:
             return
         if state is _State.KNOWN and entry.report is None:
-            self._step(entry, entry.life.become_ready)
+            self._step(entry, entry.lifecycle.become_ready)
         elif state is _State.SUSPECT and not self._is_held(entry):
-            self._step(entry, entry.life.recover)
+            self._step(entry, entry.lifecycle.recover)
 
     def record_failure(
         self, endpoint_id: str, failure: failures.Failure
@@ -203,7 +203,7 @@
                 callback(endpoint_id)
         elif failure.code in _COUNTED_CODES:
             entry.hold_down.record_failure(self._timers.read_monotonic())
-            self._step(entry, entry.life.suspect)
+            self._step(entry, entry.lifecycle.suspect)
             self._usable.clear()
 
     def record_load(self, report: endpoints.LoadReport) -> None:
@@ -217,13 +217,13 @@
                 return
         elif before is not None:
             entry.refused_s = float("-inf")
-            self._step(entry, entry.life.restart)
+            self._step(entry, entry.lifecycle.restart)
         entry.report = report
         entry.seen_s = entry.reported_s = self._timers.read_monotonic()
         self._follow_report(entry, report)
         if before is None or before.models != report.models:
             self._usable.clear()
-        if entry.life.state is _State.SUSPECT:
+        if entry.lifecycle.state is _State.SUSPECT:
             self._usable.clear()
 
     def mark_draining(self, endpoint_id: str) -> None:
@@ -231,14 +231,14 @@
         self._drained.add(endpoint_id)
         entry = self._entries.get(endpoint_id)
         if entry is not None:
-            self._step(entry, entry.life.drain)
+            self._step(entry, entry.lifecycle.drain)
 
     def end_draining(self, endpoint_id: str) -> None:
         """Notes that the order to drain was taken back."""
         self._drained.discard(endpoint_id)
         entry = self._entries.get(endpoint_id)
         if entry is not None:
-            self._step(entry, entry.life.end_drain)
+            self._step(entry, entry.lifecycle.end_drain)
 
     def is_drained(self, endpoint_id: str) -> bool:
         """Says whether an operator's order to drain is in force."""
@@ -253,7 +253,7 @@
     def read_state(self, endpoint_id: str) -> endpoints.EndpointState:
         """Returns the state of an endpoint; GONE for one that is unknown."""
         entry = self._entries.get(endpoint_id)
-        return entry.life.state if entry else _State.GONE
+        return entry.lifecycle.state if entry else _State.GONE
 
     def find_report(self, endpoint_id: str) -> endpoints.LoadReport | None:
         """Returns the latest load report of an engine, if there is one."""
@@ -301,15 +301,15 @@
             self._entries[listed.instance_id] = entry
         entry.endpoint = endpoint
         if endpoint.endpoint_id in self._drained:
-            self._step(entry, entry.life.drain)
+            self._step(entry, entry.lifecycle.drain)
         now_s = self._timers.read_monotonic()
         if listed.leaving:
             entry.refused_s = now_s
-            self._step(entry, entry.life.leave)
+            self._step(entry, entry.lifecycle.leave)
             return
         is_old = now_s - entry.refused_s > self._settings.list_lag_s
-        if is_old and entry.life.state is _State.LEAVING:
-            self._step(entry, entry.life.restart)
+        if is_old and entry.lifecycle.state is _State.LEAVING:
+            self._step(entry, entry.lifecycle.restart)
 
     def _refuse(self, entry: _Entry) -> None:
         """Notes that an endpoint itself refuses new work.
@@ -319,9 +319,9 @@
         """
         entry.refused_s = self._timers.read_monotonic()
         if entry.endpoint.kind is endpoints.EndpointKind.ENGINE:
-            self._step(entry, entry.life.drain)
+            self._step(entry, entry.lifecycle.drain)
         else:
-            self._step(entry, entry.life.leave)
+            self._step(entry, entry.lifecycle.leave)
 
     def _drop_missing(self, service: str, present: set[str]) -> None:
         entries = self._list_entries(service)
@@ -335,7 +335,7 @@
         doubtful = len(missing) > self._settings.panic_share * len(entries)
         for entry in missing:
             if not (doubtful and entry.is_open and self._is_recent(entry)):
-                self._step(entry, entry.life.vanish)
+                self._step(entry, entry.lifecycle.vanish)
                 del self._entries[entry.endpoint.endpoint_id]
 
     # Load reports.
@@ -347,13 +347,13 @@
         in_doubt = age_s < self._settings.report_lag_s
         is_drained = report.endpoint_id in self._drained
         if report.draining or is_drained:
-            self._step(entry, entry.life.drain)
+            self._step(entry, entry.lifecycle.drain)
         elif not in_doubt:
-            self._step(entry, entry.life.end_drain)
+            self._step(entry, entry.lifecycle.end_drain)
         if report.models:
-            self._step(entry, entry.life.become_ready)
+            self._step(entry, entry.lifecycle.become_ready)
         else:
-            self._step(entry, entry.life.start_loading)
+            self._step(entry, entry.lifecycle.start_loading)
 
     # What may get work.
 
@@ -380,7 +380,9 @@
     def _can_serve(self, entry: _Entry, model: str) -> bool:
         if entry.endpoint.kind is endpoints.EndpointKind.SERVICE:
             return True
-        return entry.serves(model) and entry.life.state is not _State.LOADING
+        return (
+            entry.serves(model) and entry.lifecycle.state is not _State.LOADING
+        )
 
     def _list_entries(self, service: str) -> list[_Entry]:
         return [
@@ -407,16 +409,16 @@
     def _view(self, entry: _Entry) -> EndpointView:
         return EndpointView(
             entry.endpoint,
-            entry.life.state,
+            entry.lifecycle.state,
             entry.report,
             entry.reported_s,
-            entry.life.state is _State.SUSPECT,
+            entry.lifecycle.state is _State.SUSPECT,
         )
 
     def _step(self, entry: _Entry, step: Callable[[], bool]) -> None:
-        before = entry.life.state
+        before = entry.lifecycle.state
         if not step():
             return
         self._usable.clear()
         for callback in self._callbacks:
-            callback(entry.endpoint.endpoint_id, before, entry.life.state)
+            callback(entry.endpoint.endpoint_id, before, entry.lifecycle.state)
--- a/rhubarblock/fleet/orphans.py
+++ b/rhubarblock/fleet/orphans.py
@@ -134,7 +134,7 @@
     ) -> float | None:
         if owner.incarnation != self._own.incarnation:
             return CONFIRM_S
-        request_id = attemptid.read_request_id(attempt_id)
+        request_id = attemptid.parse_request_id(attempt_id)
         return None if self._is_running(request_id) else CONFIRM_S
 
     def _coordinates(self, endpoint: endpoints.Endpoint) -> bool:
--- a/rhubarblock/kernel/life.py
+++ b/rhubarblock/kernel/lifecycle.py
@@ -18,7 +18,7 @@
 from rhubarblock.kernel import logs
 
 
-class LifeState(enum.Enum):
+class LifecycleState(enum.Enum):
     """Where an instance is in its life."""
 
     STARTING = "starting"
@@ -27,20 +27,24 @@
     STOPPED = "stopped"
 
 
-Hook = Callable[[LifeState, LifeState], None]
+Hook = Callable[[LifecycleState, LifecycleState], None]
 
 # A caller that is refused goes to another instance, so it need not wait long.
 RETRY_AFTER_S = 1.0
 
 _TRANSITIONS: list[Any] = [
-    ["mark_ready", LifeState.STARTING, LifeState.READY],
-    ["start_drain", [LifeState.STARTING, LifeState.READY], LifeState.DRAINING],
-    ["start_drain", LifeState.DRAINING, None],
-    ["mark_stopped", "*", LifeState.STOPPED],
+    ["mark_ready", LifecycleState.STARTING, LifecycleState.READY],
+    [
+        "start_drain",
+        [LifecycleState.STARTING, LifecycleState.READY],
+        LifecycleState.DRAINING,
+    ],
+    ["start_drain", LifecycleState.DRAINING, None],
+    ["mark_stopped", "*", LifecycleState.STOPPED],
 ]
 
 
-class InstanceLife:
+class InstanceLifecycle:
     """State of one instance and the count of its requests in flight.
 
     A step that the present state does not allow raises
@@ -55,14 +59,14 @@
         self._idle = asyncio.Event()
         self._idle.set()
         self._machine = transitions.Machine(
-            states=LifeState,
+            states=LifecycleState,
             transitions=_TRANSITIONS,
-            initial=LifeState.STARTING,
+            initial=LifecycleState.STARTING,
             auto_transitions=False,
         )
 
     @property
-    def state(self) -> LifeState:
+    def state(self) -> LifecycleState:
         """The present state."""
         return self._machine.state
 
@@ -98,11 +102,11 @@
           failure.FailureError: the instance takes no requests; NOT_RUN.
         """
         self._check_ready()
-        with self.hold_request():
+        with self.track_request():
             yield
 
     @contextlib.contextmanager
-    def hold_request(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Counts a request as in flight, whatever the state.
 
         Where callers reach an instance through a balancer that needs a while to
@@ -142,10 +146,10 @@
         await self._idle.wait()
 
     def _check_ready(self) -> None:
-        if self.state is LifeState.READY:
+        if self.state is LifecycleState.READY:
             return
         code = failures.FailureCode.DRAINING
-        if self.state is LifeState.STARTING:
+        if self.state is LifecycleState.STARTING:
             code = failures.FailureCode.NO_ENDPOINT
         raise failures.FailureError(
             failures.Failure(
@@ -165,9 +169,9 @@
             hook(before, after)
 
 
-def log_step(
+def log_transition(
     logger: logging.Logger,
-    life: InstanceLife,
+    lifecycle: InstanceLifecycle,
     instance_id: str,
     step: Callable[[], None],
 ) -> None:
@@ -175,16 +179,16 @@
 
     Args:
       logger: logger of the module that takes it.
-      life: the life.
+      lifecycle: the life.
       instance_id: whose life it is.
-      step: such as ``life.mark_ready``.
+      step: such as ``lifecycle.mark_ready``.
     """
-    before = life.state.value
+    before = lifecycle.state.value
     step()
     logs.log_state_change(
         logger,
         f"instance {instance_id}",
         before,
-        life.state.value,
-        in_flight=life.in_flight,
+        lifecycle.state.value,
+        in_flight=lifecycle.in_flight,
     )
--- a/rhubarblock/platform/configuration.py
+++ b/rhubarblock/platform/configuration.py
@@ -288,15 +288,15 @@
     )
 
 
-def _decode_engine(fields: Mapping[str, Any]) -> routes.EngineModel:
-    return routes.EngineModel(
+def _decode_engine(fields: Mapping[str, Any]) -> routes.EngineCostModel:
+    return routes.EngineCostModel(
         slots=int(fields["slots"]),
-        memory_tokens=int(fields["kvCapacityTokens"]),
+        kv_capacity_tokens=int(fields["kvCapacityTokens"]),
         stride=int(fields.get("stride") or 1),
         step_ms=float(fields["step_ms"]),
         sequence_ms=float(fields.get("per_seq_ms") or 0),
         context_ms=float(fields.get("context_per_k") or 0),
-        read_per_ms=float(fields["read_per_s"]) / _MS_PER_S,
+        prefill_tokens_per_ms=float(fields["read_per_s"]) / _MS_PER_S,
         pair_ms=float(fields.get("pairs_per_m") or 0),
         chunk_tokens=int(fields.get("chunk") or 2048),
         hop_ms=float(fields.get("hopMs") or 0),
--- a/rhubarblock/platform/configuration_test.py
+++ b/rhubarblock/platform/configuration_test.py
@@ -121,8 +121,8 @@
 def test_engine_costs_follow_the_published_formula():
     engine = decode(CONFIG).services["pool"].engine
     # 45,000 tokens: 176 ms of tokens and 93 ms of pairs.
-    assert round(engine.predict_read(45_000), 3) == 0.269
-    assert round(engine.predict_read(210_000, 14), 3) == 0.203
+    assert round(engine.predict_prefill(45_000), 3) == 0.269
+    assert round(engine.predict_prefill(210_000, 14), 3) == 0.203
     assert round(engine.predict_stride(1, 5_000), 4) == 0.0436
 
 
--- a/rhubarblock/platform/dialect.py
+++ b/rhubarblock/platform/dialect.py
@@ -9,7 +9,7 @@
 from rhubarblock.core import route as routes
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.platform import configuration
-from rhubarblock.platform import heads
+from rhubarblock.platform import headercodec
 from rhubarblock.platform import names
 from rhubarblock.store import store as stores
 
@@ -28,27 +28,27 @@
         return names.ENDPOINT_KIND
 
     def read_caller(self, fields: Mapping[str, str]) -> dialects.CallerFields:
-        return heads.read_caller(fields)
+        return headercodec.read_caller(fields)
 
     def pass_on(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        return heads.pass_on(fields, connection)
+        return headercodec.pass_on(fields, connection)
 
     def pass_back(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        return heads.pass_back(fields, connection)
+        return headercodec.pass_back(fields, connection)
 
     def address(
         self, exchange: exchanges.Exchange, order: dialects.SendOrder
     ) -> list[tuple[str, str]]:
-        return heads.address(exchange, order)
+        return headercodec.address(exchange, order)
 
     def read_answer(
         self, status: int, fields: Mapping[str, str]
     ) -> dialects.AnswerFields:
-        return heads.read_answer(status, fields)
+        return headercodec.read_answer(status, fields)
 
     def split_configuration(self, value: bytes) -> dialects.ConfigurationText:
         return configuration.split(value)
--- a/rhubarblock/platform/heads.py
+++ b/rhubarblock/platform/headercodec.py
@@ -142,7 +142,7 @@
         return statements.NOTHING
     statement = statements.Statement(
         limit=read_limit(fields),
-        rest=_read_rest(status, fields),
+        cooldown=_read_rest(status, fields),
         is_leaving="1" in _read_texts(fields, names.LEAVING),
         unknown=tuple(name for name in fields if _is_unknown(name.lower())),
     )
@@ -153,14 +153,16 @@
     return name.startswith(names.ENDPOINT_PREFIXES) and name not in _KNOWN
 
 
-def _read_rest(status: int, fields: Mapping[str, str]) -> statements.StatedRest:
+def _read_rest(
+    status: int, fields: Mapping[str, str]
+) -> statements.StatedCooldown:
     """Decodes a rest, the longest one if a head names several."""
     if status not in _TURNED_AWAY or names.RETRY_AFTER not in fields:
-        return statements.NO_REST
+        return statements.NO_COOLDOWN
     texts = _read_texts(fields, names.RETRY_AFTER)
     lengths = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
     unreadable = [text for text in texts if not _DECIMAL.fullmatch(text)]
-    return statements.StatedRest(
+    return statements.StatedCooldown(
         max(lengths, default=None),
         (unreadable[0] or "(empty)") if unreadable else "",
     )
@@ -182,7 +184,7 @@
         the same.
     """
     if names.LIMIT not in fields:
-        return ratelimits.NONE_STATED
+        return ratelimits.NO_STATED_LIMIT
     text = ", ".join(_read_texts(fields, names.LIMIT))
     if not _DECIMAL.fullmatch(text):
         return ratelimits.StatedLimit(unreadable=text or "(empty)")
--- a/rhubarblock/platform/heads_test.py
+++ b/rhubarblock/platform/headercodec_test.py
@@ -6,7 +6,7 @@
 from rhubarblock.core import statement as statements
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange import fakeparts_test as fakes
-from rhubarblock.platform import heads
+from rhubarblock.platform import headercodec
 from rhubarblock.platform import names
 
 
@@ -20,7 +20,7 @@
             "Last-Event-Id": "12",
         }
     )
-    assert heads.read_caller(fields) == dialects.CallerFields(
+    assert headercodec.read_caller(fields) == dialects.CallerFields(
         request_id="q1",
         key="secret",
         remaining_s=1.5,
@@ -31,7 +31,7 @@
 
 
 def test_fields_that_are_missing_or_wrong_have_defaults():
-    assert heads.read_caller(
+    assert headercodec.read_caller(
         CIMultiDict({"X-Rhubarblock-Token-Count": "many"})
     ) == dialects.CallerFields("", "", 0.0, 0, 0, -1)
 
@@ -48,7 +48,7 @@
         ("X-Rhubarblock-Model", "m"),
         ("Transfer-Encoding", "chunked"),
     ]
-    assert heads.pass_on(sent, "close, X-Hop") == (
+    assert headercodec.pass_on(sent, "close, X-Hop") == (
         exchanges.Header("Accept", "x"),
         exchanges.Header("X-Rhubarblock-Model", "m"),
     )
@@ -61,7 +61,7 @@
         ("Connection", "close"),
         ("Content-Length", "3"),
     ]
-    assert heads.pass_back(sent, "close") == (
+    assert headercodec.pass_back(sent, "close") == (
         exchanges.Header("X-Rhubarblock-Server-Seal", "s"),
     )
 
@@ -82,7 +82,7 @@
         headers = (exchanges.Header(fakes.ATTEMPT, "q1"),)
         workspace = "members"
 
-    assert heads.address(Named, order) == [
+    assert headercodec.address(Named, order) == [
         ("X-Rhubarblock-Attempt-Id", "q1"),
         ("X-Rhubarblock-Deadline-Remaining", "750"),
         ("X-Rhubarblock-Target-Instance", "e1"),
@@ -95,7 +95,7 @@
 
 def test_only_the_endpoints_word_is_a_refusal():
     def is_refused(status, **fields):
-        return heads.read_answer(status, CIMultiDict(fields)).refused
+        return headercodec.read_answer(status, CIMultiDict(fields)).refused
 
     mark = {"X-Rhubarblock-Not-Executed": "1"}
     assert is_refused(503, **mark)
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("text", ["0", "1", "0.2", "12.5", " 7 ", "007", "3."])
 def test_limit_of_an_endpoint_is_a_plain_decimal_number(text):
     fields = CIMultiDict({"server-limit": text})
-    assert heads.read_limit(fields) == ratelimits.StatedLimit(float(text))
+    assert headercodec.read_limit(fields) == ratelimits.StatedLimit(float(text))
 
 
 @pytest.mark.parametrize(
@@ -115,19 +115,19 @@
 )
 def test_limit_that_is_no_decimal_number_is_unreadable(text):
     fields = CIMultiDict({"Server-Limit": text})
-    assert heads.read_limit(fields).per_s is None
-    assert heads.read_limit(fields).unreadable == (text or "(empty)")
+    assert headercodec.read_limit(fields).per_s is None
+    assert headercodec.read_limit(fields).unreadable == (text or "(empty)")
 
 
 def test_limit_that_comes_twice_must_say_the_same():
     same = CIMultiDict([("Server-Limit", "2"), ("server-limit", "2")])
-    assert heads.read_limit(same).per_s == 2.0
+    assert headercodec.read_limit(same).per_s == 2.0
     other = CIMultiDict([("Server-Limit", "2"), ("server-limit", "3")])
-    assert heads.read_limit(other).unreadable == "2, 3"
+    assert headercodec.read_limit(other).unreadable == "2, 3"
 
 
 def test_head_without_the_field_names_no_limit():
-    answer = heads.read_answer(
+    answer = headercodec.read_answer(
         200, CIMultiDict({"x-rhubarblock-attempt-id": "q"})
     )
     assert answer.statement is statements.NOTHING
@@ -135,7 +135,7 @@
 
 def read_rest(status, *texts):
     fields = CIMultiDict([(names.RETRY_AFTER, t) for t in texts])
-    return heads.read_statement(status, fields).rest
+    return headercodec.read_statement(status, fields).cooldown
 
 
 @pytest.mark.parametrize(
@@ -149,20 +149,20 @@
     ],
 )
 def test_rest_is_read_in_seconds(text, length_s):
-    assert read_rest(503, text) == statements.StatedRest(length_s)
+    assert read_rest(503, text) == statements.StatedCooldown(length_s)
 
 
 @pytest.mark.parametrize(
     "text", ["-1", "soon", "1e3", "nan", "Thu, 03 Dec 2026 10:00:00 GMT", ""]
 )
 def test_rest_that_is_no_number_of_seconds_is_told(text):
-    rest = read_rest(503, text)
-    assert rest == statements.StatedRest(None, text or "(empty)")
+    cooldown = read_rest(503, text)
+    assert cooldown == statements.StatedCooldown(None, text or "(empty)")
 
 
 def test_longest_of_several_rests_is_taken():
-    assert read_rest(503, "2", "3") == statements.StatedRest(3.0)
-    assert read_rest(503, "2", "soon") == statements.StatedRest(2.0, "soon")
+    assert read_rest(503, "2", "3") == statements.StatedCooldown(3.0)
+    assert read_rest(503, "2", "soon") == statements.StatedCooldown(2.0, "soon")
 
 
 @pytest.mark.parametrize(
@@ -180,8 +180,10 @@
 def test_leaving_is_read_from_any_answer(texts, is_leaving):
     fields = CIMultiDict([(names.LEAVING, t) for t in texts])
     for status in (200, 500, 503):
-        assert heads.read_statement(status, fields).is_leaving == is_leaving
-    assert heads.read_statement(421, fields) is statements.NOTHING
+        assert (
+            headercodec.read_statement(status, fields).is_leaving == is_leaving
+        )
+    assert headercodec.read_statement(421, fields) is statements.NOTHING
 
 
 def test_fields_about_an_endpoint_that_nothing_reads_are_named():
@@ -195,5 +197,5 @@
             "Content-Type": "text/plain",
         }
     )
-    statement = heads.read_statement(200, fields)
+    statement = headercodec.read_statement(200, fields)
     assert statement.unknown == ("Server-Mood", "x-rhubarblock-colour")
--- a/rhubarblock/platform/orders.py
+++ b/rhubarblock/platform/leaseclient.py
@@ -6,7 +6,7 @@
 
 from rhubarblock.core import listed
 from rhubarblock.exchange import dialect as dialects
-from rhubarblock.platform import heads
+from rhubarblock.platform import headercodec
 from rhubarblock.platform import names
 from rhubarblock.store import sendonce
 
@@ -17,7 +17,7 @@
 _Answer = dialects.LeaseAnswer
 
 
-class PlatformLeases(dialects.LeaseClient):
+class PlatformLeaseClient(dialects.LeaseClient):
     """Sets memory aside at engines."""
 
     __slots__ = ("_session",)
@@ -62,7 +62,9 @@
                 done = response.status == 200
                 return dialects.LeaseReply(
                     _Answer.DONE if done else _Answer.REFUSED,
-                    heads.read_statement(response.status, response.headers),
+                    headercodec.read_statement(
+                        response.status, response.headers
+                    ),
                 )
         except aiohttp.ClientConnectorError:
             return dialects.LeaseReply(_Answer.REFUSED)
--- a/rhubarblock/platform/objectstore_test.py
+++ b/rhubarblock/platform/objectstore_test.py
@@ -59,7 +59,7 @@
             session,
             f"127.0.0.1:{port}",
             count_call,
-            eras or era_lib.EraWatch(metric_store.Metrics()),
+            eras or era_lib.EraTracker(metric_store.Metrics()),
         )
         yield store, calls
     listener.close()
@@ -224,7 +224,7 @@
 
 def run_eras(answers, step):
     """Gives an answer for each call; returns what came, calls and the era."""
-    eras = era_lib.EraWatch(metric_store.Metrics())
+    eras = era_lib.EraTracker(metric_store.Metrics())
 
     async def main():
         answer = lambda number, *call: answers[number - 1]  # noqa: E731
--- a/rhubarblock/plugins/fixed_lanes.py
+++ b/rhubarblock/plugins/fixed_lanes.py
@@ -30,7 +30,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> prompts.Choice | None:
         ordered = sorted(engines, key=lambda engine: engine.endpoint_id)
@@ -39,7 +39,7 @@
         lane = ordered[:kept] if is_long else ordered[kept:]
         count = least_requests.count_holders(prompt, model)
         if is_long:
-            whole_s = model.predict_read(prompt.prompt_tokens)
+            whole_s = model.predict_prefill(prompt.prompt_tokens)
             wanted = 1 + int(whole_s / PART_READ_S)
             most = min(partplan.MAX_PARTS, len(lane))
             count = max(count, min(wanted, most))
--- a/rhubarblock/plugins/least_requests.py
+++ b/rhubarblock/plugins/least_requests.py
@@ -23,7 +23,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> prompts.Choice | None:
         count = count_holders(prompt, model)
@@ -33,10 +33,10 @@
         return make_choice(prompt, chosen, model)
 
 
-def count_holders(prompt: prompts.Prompt, model: routes.EngineModel) -> int:
+def count_holders(prompt: prompts.Prompt, model: routes.EngineCostModel) -> int:
     """Returns how many engines must hold a prompt together."""
     needed = prompt.prompt_tokens + prompt.answer_tokens
-    if needed <= partplan.MEMORY_PART * model.memory_tokens:
+    if needed <= partplan.MEMORY_PART * model.kv_capacity_tokens:
         return 1
     return -(-needed // partplan.limit_lease(model))
 
@@ -44,7 +44,7 @@
 def choose_least(
     book: enginebook.EngineBook,
     engines: list[lists.ListedEndpoint],
-    model: routes.EngineModel,
+    model: routes.EngineCostModel,
     count: int,
 ) -> list[lists.ListedEndpoint]:
     """Returns the engines with the fewest requests, the first with a slot.
@@ -64,11 +64,11 @@
 def make_choice(
     prompt: prompts.Prompt,
     engines: list[lists.ListedEndpoint],
-    model: routes.EngineModel,
+    model: routes.EngineCostModel,
 ) -> prompts.Choice:
     """Returns the choice that reads a prompt in even parts."""
     count = len(engines)
-    read_s = model.predict_read(prompt.prompt_tokens, count)
+    read_s = model.predict_prefill(prompt.prompt_tokens, count)
     held = -(-(prompt.prompt_tokens + prompt.answer_tokens) // count)
     parts = tuple(
         enginebook.Part(engine.endpoint_id, read_s, held) for engine in engines
--- a/rhubarblock/plugins/parted_at_once.py
+++ b/rhubarblock/plugins/parted_at_once.py
@@ -17,7 +17,7 @@
     plugin_name = "parted_at_once"
 
     def may_wait(
-        self, prompt: prompts.Prompt, model: routes.EngineModel
+        self, prompt: prompts.Prompt, model: routes.EngineCostModel
     ) -> bool:
         del prompt, model
         return False
--- a/rhubarblock/relay/promptrelay.py
+++ b/rhubarblock/relay/promptrelay.py
@@ -11,7 +11,7 @@
 
 from rhubarblock.core import failure as failures
 from rhubarblock.core import request as requests
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import completion as completions
@@ -29,7 +29,7 @@
 
     __slots__ = (
         "_guard",
-        "_life",
+        "_lifecycle",
         "_metrics",
         "_retries",
         "_routing",
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         routing: tries.Routing,
         try_runner: tries.TryRunner,
         guard: guards.Guard,
@@ -51,7 +51,7 @@
         """Creates a relay.
 
         Args:
-          life: state of this instance.
+          lifecycle: state of this instance.
           routing: admission, queue, placement and prediction.
           try_runner: runs one try of a prompt.
           guard: limits and quarantine.
@@ -59,7 +59,7 @@
           timers: timer service.
           metrics: counters.
         """
-        self._life = life
+        self._lifecycle = lifecycle
         self._routing = routing
         self._tries = try_runner
         self._guard = guard
@@ -88,7 +88,7 @@
         self._metrics.count("relay.requests")
         self._running.add(request.request_id)
         try:
-            with self._life.begin_request():
+            with self._lifecycle.begin_request():
                 completion = await self._admit(request, sink)
         except failures.FailureError as error:
             self._metrics.count(f"relay.failed.{error.failure.code.value}")
--- a/rhubarblock/relay/servicesapi.py
+++ b/rhubarblock/relay/servicesapi.py
@@ -11,7 +11,7 @@
 from rhubarblock.core import failure as failures
 from rhubarblock.core import request as requests
 from rhubarblock.core import verdict as verdicts
-from rhubarblock.kernel import life as lives
+from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.relay import apierrors
 from rhubarblock.relay import callcontext
 from rhubarblock.relay import callers
@@ -29,13 +29,13 @@
 class ServicesApi:
     """Handlers of calls to plain services."""
 
-    __slots__ = ("_caller", "_context", "_life", "_limiter")
+    __slots__ = ("_caller", "_context", "_lifecycle", "_limiter")
 
     def __init__(
         self,
         caller: servicecalls.ServiceCaller,
         limiter: limits.Limiter,
-        life: lives.InstanceLife,
+        lifecycle: lifecycles.InstanceLifecycle,
         context: callcontext.CallContext,
     ):
         """Creates the handlers.
@@ -43,12 +43,12 @@
         Args:
           caller: sends calls to endpoints.
           limiter: limits of institutions and workspaces.
-          life: state of this instance.
+          lifecycle: state of this instance.
           context: what every path reads of a call.
         """
         self._caller = caller
         self._limiter = limiter
-        self._life = life
+        self._lifecycle = lifecycle
         self._context = context
 
     def add_routes(self, app: web.Application) -> None:
@@ -58,7 +58,7 @@
     async def call(self, http: web.Request) -> web.StreamResponse:
         """Answers one call to a service."""
         try:
-            with self._life.begin_request():
+            with self._lifecycle.begin_request():
                 return await self._serve(http)
         except failures.FailureError as error:
             return apierrors.answer(error.failure)
--- a/rhubarblock/routing/endpointlimits/coordinator_test.py
+++ b/rhubarblock/routing/endpointlimits/coordinator_test.py
@@ -86,5 +86,5 @@
 
 def test_limit_that_ended_grants_nothing():
     book, coordinator = make_coordinator()
-    book.note_answer("e1", ratelimits.NONE_STATED, 1.0, 2.0)
+    book.note_answer("e1", ratelimits.NO_STATED_LIMIT, 1.0, 2.0)
     assert ask(coordinator, "p1", 3.0, 1) is None
--- a/rhubarblock/routing/placement/enginebook.py
+++ b/rhubarblock/routing/placement/enginebook.py
@@ -161,7 +161,7 @@
         self.settle(now_s)
         return sum(read.left_s for read in self.reads)
 
-    def predict_stride(self, model: routes.EngineModel) -> float:
+    def predict_stride(self, model: routes.EngineCostModel) -> float:
         """Returns the seconds of a pass that reads nothing."""
         return model.predict_stride(len(self.jobs), self.tokens)
 
--- a/rhubarblock/routing/placement/engineview.py
+++ b/rhubarblock/routing/placement/engineview.py
@@ -180,7 +180,7 @@
     endpoint: lists.ListedEndpoint,
     load: enginebook.EngineLoad,
     outlook: Outlook,
-    model: routes.EngineModel,
+    model: routes.EngineCostModel,
     data_centre: str,
     memory_part: float,
 ) -> EngineView:
@@ -202,5 +202,5 @@
         endpoint.data_centre != data_centre,
         model.slots - len(load.jobs),
         model.slots - load.count_helped(),
-        int(memory_part * model.memory_tokens) - load.tokens,
+        int(memory_part * model.kv_capacity_tokens) - load.tokens,
     )
--- a/rhubarblock/routing/placement/parting.py
+++ b/rhubarblock/routing/placement/parting.py
@@ -43,7 +43,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> prompts.Choice | None:
         plan = partplan.choose_plan(
@@ -52,7 +52,7 @@
         return _make_choice(prompt, plan) if plan else None
 
     def may_wait(
-        self, prompt: prompts.Prompt, model: routes.EngineModel
+        self, prompt: prompts.Prompt, model: routes.EngineCostModel
     ) -> bool:
         """Says whether a prompt is long, not begun, and has time left.
 
@@ -60,7 +60,7 @@
         """
         if prompt.hurried:
             return False
-        if model.predict_read(prompt.prompt_tokens) < LATER_FROM_READ_S:
+        if model.predict_prefill(prompt.prompt_tokens) < LATER_FROM_READ_S:
             return False
         return prompt.waited_s <= LATER_PART * prompt.objective_s
 
@@ -68,7 +68,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> float:
         """Returns the seconds after which a prompt had better begin.
@@ -96,7 +96,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
         later_s: float,
     ) -> partplan.Plan | None:
--- a/rhubarblock/routing/placement/parting_test.py
+++ b/rhubarblock/routing/placement/parting_test.py
@@ -132,12 +132,14 @@
     choice = choose(make_book(), huge, make_engines(14))
     held = [part.tokens for part in choice.job.parts]
     assert sum(held) == 801_600
-    assert max(held) <= partplan.LEASE_PART * MODEL.memory_tokens
+    assert max(held) <= partplan.LEASE_PART * MODEL.kv_capacity_tokens
     assert held[0] > 0
 
 
 def test_prompt_that_is_soon_read_is_parted_if_no_engine_holds_it():
-    fast = dataclasses.replace(MODEL, read_per_ms=10_000.0, pair_ms=0.0)
+    fast = dataclasses.replace(
+        MODEL, prefill_tokens_per_ms=10_000.0, pair_ms=0.0
+    )
     huge = make_prompt(700_000, 0.8, 3.0)
     choice = parting.Parter(make_book(), "osu").choose(
         huge, make_engines(6), fast, 0.0
@@ -288,9 +290,9 @@
 @pytest.mark.parametrize("scale", [0.25, 0.5, 1.0, 2.0, 4.0])
 def test_two_prompts_larger_than_an_engine_fit_whatever_its_memory(scale):
     # Four engines have memory for both; each takes a part of the first.
-    tokens = int(1.5 * scale * MODEL.memory_tokens)
+    tokens = int(1.5 * scale * MODEL.kv_capacity_tokens)
     model = dataclasses.replace(
-        MODEL, memory_tokens=int(scale * MODEL.memory_tokens)
+        MODEL, kv_capacity_tokens=int(scale * MODEL.kv_capacity_tokens)
     )
     engines = make_engines(4)
     book = make_book()
@@ -302,7 +304,7 @@
         dataclasses.replace(giant, job_id="second"), engines, model, 0.0
     )
     held = [part.tokens for part in first.job.parts]
-    assert max(held) < model.memory_tokens / 2
+    assert max(held) < model.kv_capacity_tokens / 2
     assert second is not None
 
 
--- a/rhubarblock/routing/placement/partplan.py
+++ b/rhubarblock/routing/placement/partplan.py
@@ -72,7 +72,7 @@
     data_centre: str,
     prompt: prompts.Prompt,
     engines: list[lists.ListedEndpoint],
-    model: routes.EngineModel,
+    model: routes.EngineCostModel,
     now_s: float,
 ) -> Plan | None:
     """Returns the plan that costs least, or None if no engine has room.
@@ -115,7 +115,7 @@
         data_centre: str,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ):
         """Looks at the engines; see ``choose_plan``."""
@@ -188,7 +188,7 @@
         self,
         prompt: prompts.Prompt,
         views: list[engineview.EngineView],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         count: int,
     ):
         self._prompt = prompt
@@ -196,7 +196,7 @@
         self._count = count
         self._needed = prompt.prompt_tokens + prompt.answer_tokens
         self._most_held = limit_lease(model)
-        self._read_s = model.predict_read(prompt.prompt_tokens, count)
+        self._read_s = model.predict_prefill(prompt.prompt_tokens, count)
         self._harms = {
             view.endpoint.endpoint_id: view.weigh(self._read_s)
             for view in views
@@ -299,13 +299,13 @@
     return tokens if rest <= 0 and tokens[0] > 0 else None
 
 
-def limit_lease(model: routes.EngineModel) -> int:
+def limit_lease(model: routes.EngineCostModel) -> int:
     """Returns the most tokens of a prompt that one of several engines holds."""
-    return int(LEASE_PART * model.memory_tokens)
+    return int(LEASE_PART * model.kv_capacity_tokens)
 
 
 def _list_counts(
-    prompt: prompts.Prompt, model: routes.EngineModel, engines: int
+    prompt: prompts.Prompt, model: routes.EngineCostModel, engines: int
 ) -> list[int]:
     """Returns the numbers of parts that are worth looking at.
 
@@ -313,11 +313,11 @@
     it. Nor is one whose plans were refused: any engine of a plan may refuse it,
     so that half as many are half as likely to.
     """
-    whole_s = model.predict_read(prompt.prompt_tokens)
+    whole_s = model.predict_prefill(prompt.prompt_tokens)
     most = min(MAX_PARTS, int(whole_s / SMALL_READ_S))
     most = max(1, most >> prompt.refusals)
     needed = prompt.prompt_tokens + prompt.answer_tokens
-    if needed > MEMORY_PART * model.memory_tokens:
+    if needed > MEMORY_PART * model.kv_capacity_tokens:
         most = max(most, 2 * math.ceil(needed / limit_lease(model)))
     most = min(MAX_PARTS, engines, most)
     return [n for n in COUNTS if n <= most]
--- a/rhubarblock/routing/placement/promptpolicy.py
+++ b/rhubarblock/routing/placement/promptpolicy.py
@@ -31,7 +31,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> prompts.Choice | None:
         """Chooses the engines of a prompt.
@@ -50,7 +50,7 @@
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
-        model: routes.EngineModel,
+        model: routes.EngineCostModel,
         now_s: float,
     ) -> float:
         """Returns the seconds after which a prompt had better begin.
--- a/rhubarblock/standins/engine/passes.py
+++ b/rhubarblock/standins/engine/passes.py
@@ -73,7 +73,7 @@
         "writers",
     )
 
-    def __init__(self, model: routes.EngineModel):
+    def __init__(self, model: routes.EngineCostModel):
         """Creates an idle engine.
 
         Args:
@@ -140,7 +140,7 @@
         while self._queue and self._admitted < self._model.slots:
             writer, part = self._queue[0]
             used = self._used_tokens + writer.context_tokens
-            if used > self._model.memory_tokens and self._admitted:
+            if used > self._model.kv_capacity_tokens and self._admitted:
                 return
             del self._queue[0]
             self._admitted += 1
--- a/rhubarblock/standins/engine/passes_test.py
+++ b/rhubarblock/standins/engine/passes_test.py
@@ -5,14 +5,14 @@
 from rhubarblock.standins.engine import passes as passengine
 
 # A step takes 10 ms, a stride has four, 100 tokens are read in a millisecond.
-MODEL = routes.EngineModel(
+MODEL = routes.EngineCostModel(
     slots=2,
-    memory_tokens=10_000,
+    kv_capacity_tokens=10_000,
     stride=4,
     step_ms=10.0,
     sequence_ms=0.0,
     context_ms=0.0,
-    read_per_ms=100.0,
+    prefill_tokens_per_ms=100.0,
     pair_ms=0.0,
     chunk_tokens=1_000,
     hop_ms=0.0,
@@ -41,14 +41,16 @@
         writer = passengine.Writer(tokens, events, wrote)
         part = passengine.Part(
             tokens,
-            MODEL.predict_read(tokens),
+            MODEL.predict_prefill(tokens),
             lambda: self.engine.start(writer),
         )
         self.engine.submit(writer, part)
 
     def help(self, name, tokens):
         part = passengine.Part(
-            tokens, MODEL.predict_read(tokens), lambda: self.note(name, "read")
+            tokens,
+            MODEL.predict_prefill(tokens),
+            lambda: self.note(name, "read"),
         )
         self.engine.help(part)
 
--- a/rhubarblock/store/unsure.py
+++ b/rhubarblock/store/confirmedwrite.py
@@ -40,7 +40,7 @@
     owns: Callable[[bytes], bool]
 
 
-class SureWriter:
+class ConfirmingWriter:
     """Carries writes through to an outcome that is known."""
 
     __slots__ = ("_rng", "_settings", "_store", "_timers")
--- a/rhubarblock/store/unsure_test.py
+++ b/rhubarblock/store/confirmedwrite_test.py
@@ -10,8 +10,8 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
 from rhubarblock.store import backoff as backoffs
+from rhubarblock.store import confirmedwrite
 from rhubarblock.store import store as stores
-from rhubarblock.store import unsure
 
 _Kind = stores.StoreErrorKind
 
@@ -74,10 +74,10 @@
     expected_version: positions.Position = positions.NOWHERE,
 ):
     async def main():
-        writer = unsure.SureWriter(
+        writer = confirmedwrite.ConfirmingWriter(
             store, timer_service.LoopTimers(0.0), random.Random(1)
         )
-        pending = unsure.PendingWrite(
+        pending = confirmedwrite.PendingWrite(
             "a/1", b"mine", expected_version, lambda value: value == b"mine"
         )
         try:
--- a/rhubarblock/store/era.py
+++ b/rhubarblock/store/era.py
@@ -1,6 +1,6 @@
 """The eras of a store that may come back from an older copy of itself.
 
-One instance of ``EraWatch`` hears the era of every answer that tells of the
+One instance of ``EraTracker`` hears the era of every answer that tells of the
 store, be it the store's own or a peer's. Nothing that an answer of an ended era
 says is taken in, and parts that rely on what the store acknowledged hear of a
 new era before anything of it is.
@@ -17,7 +17,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class EraWatch(stores.Eras):
+class EraTracker(stores.Eras):
     """Knows the present era as far as any answer told of it."""
 
     __slots__ = ("_era", "_first", "_listeners", "_metrics")
--- a/rhubarblock/store/era_test.py
+++ b/rhubarblock/store/era_test.py
@@ -8,7 +8,7 @@
 
 
 def make():
-    watch = eras.EraWatch(metric_store.Metrics())
+    watch = eras.EraTracker(metric_store.Metrics())
     heard = []
     watch.listen(lambda: heard.append(watch.current))
     return watch, heard
