--- a/rhubarblock/admin/errors.py
+++ b/rhubarblock/admin/errors.py
@@ -78,7 +78,7 @@
 
 def _translate_http(error: web.HTTPException) -> web.Response:
     """Gives the library's own refusals (path, method, size) our form."""
-    failure = apierrors.read_refusal(error)
+    failure = apierrors.convert_http_error(error)
     return _respond(failures.FailureError(failure), error.status)
 
 
--- a/rhubarblock/daemon/callerserver.py
+++ b/rhubarblock/daemon/callerserver.py
@@ -46,7 +46,7 @@
     try:
         return await handler(request)
     except web.HTTPException as error:
-        response = apierrors.answer(apierrors.read_refusal(error))
+        response = apierrors.answer(apierrors.convert_http_error(error))
         response.set_status(error.status)
         return response
     except ConnectionError:
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -255,7 +255,7 @@
         self.guard = guards.Guard(
             self.limiter,
             self.quarantine,
-            crashes.CrashObserver(
+            crashes.EngineCrashDetector(
                 self.outside.engines, self.quarantine, self._find_start
             ),
             lambda name, failure: self.endpoints.report(name, failure),
--- a/rhubarblock/daemon/promptparts.py
+++ b/rhubarblock/daemon/promptparts.py
@@ -153,7 +153,7 @@
             queue_settings, around.policy, around.weigh, self._size_window
         )
         self.retry_budget = retrybudget.RetryBudget(around.timers)
-        self._stalls = stalls.StallWatch(around.timers)
+        self._stalls = stalls.StallDetector(around.timers)
         self.cleanup = cleanups.Cleanup(around.client, around.timers, metrics)
         self.relay = self._build_relay(guard)
 
@@ -186,7 +186,7 @@
                 self.metrics,
             ),
             guard,
-            retries.RetryRules(self.retry_budget, around.timers, around.rng),
+            retries.RetryPolicy(self.retry_budget, around.timers, around.rng),
             around.timers,
             self.metrics,
         )
@@ -196,7 +196,7 @@
         """Keeps the regular work going while the context is open."""
         timers = self._around.timers
         with (
-            stalls.watch_stalls(self._stalls, timers),
+            stalls.run_stall_detector(self._stalls, timers),
             timers.subscribe(PROGRESS_INTERVAL_S, self.placement.send_progress),
         ):
             yield
--- a/rhubarblock/exchange/frontdoor.py
+++ b/rhubarblock/exchange/frontdoor.py
@@ -163,7 +163,7 @@
         fields = self._dialect.read_caller(request.headers)
         route = table.find_route(request.host, request.rel_url.raw_path)
         if route is None:
-            raise apierrors.reject(
+            raise apierrors.make_rejection(
                 failures.FailureCode.UNKNOWN_SERVICE, "no route has this path"
             )
         workspace = _find_workspace(table, route, fields.key)
@@ -278,7 +278,7 @@
     while data := await request.content.readany():
         size += len(data)
         if size > bounds.body_bytes:
-            raise apierrors.reject(
+            raise apierrors.make_rejection(
                 failures.FailureCode.BODY_TOO_LARGE,
                 f"the body is over {bounds.body_bytes} bytes",
             )
@@ -293,7 +293,7 @@
         return None
     workspace = table.keys.get(key)
     if workspace is None:
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.UNAUTHENTICATED, "the key is not known"
         )
     return workspace
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -94,7 +94,7 @@
                 failures.Failure(
                     failures.FailureCode.DEADLINE_EXCEEDED,
                     "the time for the request is over",
-                    flow.history.verdict_now(),
+                    flow.history.compute_verdict(),
                 )
             ) from None
 
--- a/rhubarblock/relay/apierrors.py
+++ b/rhubarblock/relay/apierrors.py
@@ -45,7 +45,7 @@
     )
 
 
-def read_refusal(error: web.HTTPException) -> failures.Failure:
+def convert_http_error(error: web.HTTPException) -> failures.Failure:
     """Returns the failure that a refusal of the HTTP library stands for."""
     code = failures.FailureCode.BAD_REQUEST
     if error.status == web.HTTPRequestEntityTooLarge.status_code:
@@ -53,6 +53,8 @@
     return failures.Failure(code, error.text or error.reason)
 
 
-def reject(code: failures.FailureCode, message: str) -> failures.FailureError:
+def make_rejection(
+    code: failures.FailureCode, message: str
+) -> failures.FailureError:
     """Returns the error of a request that was turned away unread."""
     return failures.FailureError(failures.Failure(code, message))
--- a/rhubarblock/relay/callers.py
+++ b/rhubarblock/relay/callers.py
@@ -38,7 +38,7 @@
             PLATFORM_UNAVAILABLE before there is a catalogue; NOT_RUN.
         """
         if not authorization.lower().startswith(_SCHEME):
-            raise apierrors.reject(
+            raise apierrors.make_rejection(
                 failures.FailureCode.UNAUTHENTICATED,
                 "an Authorization header with a bearer token is needed",
             )
@@ -48,12 +48,12 @@
         digest = hashlib.sha256(data).hexdigest()
         credential = self._read_index().get(digest)
         if credential is None:
-            raise apierrors.reject(
+            raise apierrors.make_rejection(
                 failures.FailureCode.UNAUTHENTICATED,
                 "the bearer token is not known",
             )
         if credential.role is not catalogues.CredentialRole.CALLER:
-            raise apierrors.reject(
+            raise apierrors.make_rejection(
                 failures.FailureCode.FORBIDDEN,
                 "this credential is not one for callers",
             )
@@ -88,7 +88,7 @@
     """
     workspace = catalogue.workspaces.get(credential.workspace)
     if workspace is None:
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.UNKNOWN_WORKSPACE,
             f"workspace {credential.workspace!r} is not in the catalogue",
         )
--- a/rhubarblock/relay/crashes.py
+++ b/rhubarblock/relay/crashes.py
@@ -17,7 +17,7 @@
 ASK_TIMEOUT_S = 0.5
 
 
-class CrashObserver:
+class EngineCrashDetector:
     """Lays the deaths of engines to the requests in flight."""
 
     __slots__ = (
--- a/rhubarblock/relay/guard.py
+++ b/rhubarblock/relay/guard.py
@@ -32,7 +32,7 @@
         self,
         limiter: limits.Limiter,
         quarantine: quarantines.Quarantine,
-        crash_observer: crashes.CrashObserver,
+        crash_observer: crashes.EngineCrashDetector,
         report: Callable[[str, failures.Failure | None], None],
     ):
         """Creates a guard.
--- a/rhubarblock/relay/promptrelay.py
+++ b/rhubarblock/relay/promptrelay.py
@@ -44,7 +44,7 @@
         routing: tries.Routing,
         try_runner: tries.TryRunner,
         guard: guards.Guard,
-        retry_rules: retries.RetryRules,
+        retry_rules: retries.RetryPolicy,
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
     ):
@@ -134,7 +134,7 @@
                 failures.Failure(
                     failures.FailureCode.DEADLINE_EXCEEDED,
                     "the request did not end within its deadline",
-                    history.verdict_now(),
+                    history.compute_verdict(),
                 )
             ) from None
         except failures.FailureError as error:
--- a/rhubarblock/relay/prompts.py
+++ b/rhubarblock/relay/prompts.py
@@ -124,12 +124,12 @@
     if model is None or (
         workspace.models and call.model not in workspace.models
     ):
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.UNKNOWN_MODEL,
             f"model {call.model!r} is not known to this workspace",
         )
     if call.prompt_tokens + call.max_tokens > model.context_tokens:
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.PROMPT_TOO_LONG,
             f"prompt and output are over {model.context_tokens} tokens",
         )
@@ -251,4 +251,4 @@
 
 
 def _reject(message: str) -> failures.FailureError:
-    return apierrors.reject(failures.FailureCode.BAD_REQUEST, message)
+    return apierrors.make_rejection(failures.FailureCode.BAD_REQUEST, message)
--- a/rhubarblock/relay/prompts_test.py
+++ b/rhubarblock/relay/prompts_test.py
@@ -152,7 +152,7 @@
     async def main():
         timers = timer_service.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(timers)
-        rules = retries.RetryRules(budget, timers, random.Random(1))
+        rules = retries.RetryPolicy(budget, timers, random.Random(1))
         passed = 0
         for _ in range(successes):
             rules.note_success()
@@ -182,7 +182,7 @@
     async def main():
         timers = timer_service.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(timers)
-        rules = retries.RetryRules(budget, timers, random.Random(1))
+        rules = retries.RetryPolicy(budget, timers, random.Random(1))
         history = retries.History(attempts=retries.MAX_ATTEMPTS)
         history.note_failure(make_failure(_Verdict.MAY_HAVE_RUN), "a")
         history.note_failure(make_failure(_Verdict.NOT_RUN), "b")
--- a/rhubarblock/relay/retries.py
+++ b/rhubarblock/relay/retries.py
@@ -44,7 +44,7 @@
         self.verdict = verdicts.combine(self.verdict, failure.verdict)
         self.failed_endpoints.add(endpoint_id)
 
-    def verdict_now(self) -> verdicts.Verdict:
+    def compute_verdict(self) -> verdicts.Verdict:
         """Returns the verdict if the request were given up at present."""
         if self.sent:
             return verdicts.combine(self.verdict, verdicts.Verdict.MAY_HAVE_RUN)
@@ -52,11 +52,11 @@
 
     def judge(self, failure: failures.Failure) -> failures.Failure:
         """Returns a failure of the request with the verdict of all its jobs."""
-        verdict = verdicts.combine(self.verdict_now(), failure.verdict)
+        verdict = verdicts.combine(self.compute_verdict(), failure.verdict)
         return dataclasses.replace(failure, verdict=verdict)
 
 
-class RetryRules:
+class RetryPolicy:
     """Spends the retry budget of one instance."""
 
     __slots__ = ("_backoff", "_budget", "_timers")
--- a/rhubarblock/relay/runner.py
+++ b/rhubarblock/relay/runner.py
@@ -94,7 +94,7 @@
         client: engineclient.EngineClient,
         find_address: Callable[[str], str],
         timers: timer_service.Timers,
-        stall_watch: stalls.StallWatch,
+        stall_watch: stalls.StallDetector,
         cleanup: cleanups.Cleanup,
     ):
         """Creates a runner.
--- a/rhubarblock/relay/runner_test.py
+++ b/rhubarblock/relay/runner_test.py
@@ -28,7 +28,7 @@
         self.metrics = metric_store.Metrics()
         self.cursor = cursors.AnswerCursor(self.sink, self.metrics)
         self.cleanup = cleanups.Cleanup(bench.client, bench.clock, self.metrics)
-        self.stalls = stalls.StallWatch(bench.clock)
+        self.stalls = stalls.StallDetector(bench.clock)
         self.request = requests.PromptRequest(
             "r",
             "adwoa",
@@ -68,7 +68,7 @@
             self.cursor,
             self.note_prefill,
         )
-        with stalls.watch_stalls(self.stalls, self.bench.clock):
+        with stalls.run_stall_detector(self.stalls, self.bench.clock):
             await runner.run(job)
 
     @property
--- a/rhubarblock/relay/servicesapi.py
+++ b/rhubarblock/relay/servicesapi.py
@@ -131,7 +131,7 @@
     )
     allowed = not workspace.services or name in workspace.services
     if service is None or not plain or not allowed:
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.UNKNOWN_SERVICE,
             f"service {name!r} is not known to this workspace",
         )
@@ -148,7 +148,7 @@
         return None
     printable = key.isascii() and key.isprintable()
     if not printable or not 0 < len(key) <= LONGEST_KEY:
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.BAD_REQUEST,
             f"{KEY_HEADER} must have 1 to {LONGEST_KEY} printable ASCII "
             "characters",
@@ -165,7 +165,7 @@
     path = "/" + http.rel_url.raw_path.split("/", _PATH_DEPTH)[_PATH_DEPTH]
     segments = parse.unquote(path).split("/")
     if any(segment in (".", "..") for segment in segments):
-        raise apierrors.reject(
+        raise apierrors.make_rejection(
             failures.FailureCode.BAD_REQUEST,
             "the path must not hold '.' or '..' segments",
         )
--- a/rhubarblock/relay/stalls.py
+++ b/rhubarblock/relay/stalls.py
@@ -56,7 +56,7 @@
             self._limit.reschedule(now_s)
 
 
-class StallWatch:
+class StallDetector:
     """All running attempts of one instance."""
 
     __slots__ = ("_timers", "_watches")
@@ -105,8 +105,8 @@
 
 
 @contextlib.contextmanager
-def watch_stalls(
-    stalls: StallWatch, timers: timer_service.Timers
+def run_stall_detector(
+    stalls: StallDetector, timers: timer_service.Timers
 ) -> Iterator[None]:
     """Checks regularly while the context is open."""
     with timers.subscribe(CHECK_INTERVAL_S, stalls.check):
