--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -21,21 +21,21 @@
 from rhubarblock.exchange import crashes
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange import endpointlimits
-from rhubarblock.exchange import frontdoor
 from rhubarblock.exchange import leases
 from rhubarblock.exchange import outcomes
 from rhubarblock.exchange import placer as placers
 from rhubarblock.exchange import relay as relays
+from rhubarblock.exchange import requesthandler
 from rhubarblock.exchange import statements
 from rhubarblock.exchange import transport as transports
-from rhubarblock.exchange.peering import limitnews
-from rhubarblock.exchange.peering import news as news_lib
+from rhubarblock.exchange.peering import limitupdates
 from rhubarblock.exchange.peering import table as peer_table
-from rhubarblock.exchange.state import authority as authorities
-from rhubarblock.exchange.state import book as statebook
+from rhubarblock.exchange.peering import updates as peer_updates
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import feed as statefeed
 from rhubarblock.exchange.state import follower as followers
+from rhubarblock.exchange.state import replica as replicas
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import countlog
 from rhubarblock.kernel import lifecycle as lifecycles
@@ -94,13 +94,15 @@
         self.lifecycle = lifecycles.InstanceLifecycle()
         self.metrics = metric_store.Metrics()
         self.timers = timer_service.LoopTimers()
-        self.authority = authorities.Authority(settings.bounds.revoke_s)
+        self.config_lease = config_leases.ConfigurationLease(
+            settings.bounds.revoke_s
+        )
         self.directory = directories.Directory(
             self.timers, settings.bounds.drain_s
         )
         self.subsets = subsets.Subsets(self.directory)
-        self.state = statebook.StateBook(
-            dialect, self.authority, self.directory, self.timers
+        self.state = replicas.StateReplica(
+            dialect, self.config_lease, self.directory, self.timers
         )
         self.peers = peer_table.PeerTable(
             settings.instance_id,
@@ -149,7 +151,7 @@
         session = await stack.enter_async_context(aiohttp.ClientSession())
         store = self._make_store(session, self.metrics, self.eras)
         start_id = f"{self._rng.getrandbits(32):08x}"
-        news = news_lib.News(
+        updates = peer_updates.PeerUpdates(
             settings.instance_id,
             start_id,
             settings.data_centre,
@@ -161,17 +163,17 @@
             self.metrics,
             settings.capacity,
         )
-        limits = self._make_limits(news)
+        limits = self._make_limits(updates)
         self.directory.on_restart = lambda endpoint_id: self._forget_start(
             endpoint_id, limits
         )
         await stack.enter_async_context(
-            news.open(settings.peers.host, settings.peers.port)
+            updates.open(settings.peers.host, settings.peers.port)
         )
-        relay = await self._open_relay(stack, session, news, limits)
-        await self._listen(stack, relay, news)
+        relay = await self._open_relay(stack, session, updates, limits)
+        await self._listen(stack, relay, updates)
         follower = self._make_follower(session, store)
-        following = asyncio.create_task(self._follow(store, news, follower))
+        following = asyncio.create_task(self._follow(store, updates, follower))
         stack.callback(following.cancel)
 
     def _forget_start(
@@ -184,13 +186,13 @@
         self.rests.forget(endpoint_id)
 
     def _make_limits(
-        self, news: news_lib.News
+        self, updates: peer_updates.PeerUpdates
     ) -> endpointlimits.EndpointLimits:
         """Returns what keeps to the rate limits of endpoints."""
         settings = self.settings
         limits = endpointlimits.EndpointLimits(
-            limitnews.NewsLimitPeers(
-                news,
+            limitupdates.DatagramLimitPeers(
+                updates,
                 self.peers,
                 self.subsets,
                 settings.instance_id,
@@ -201,14 +203,14 @@
             self.timers,
             self.metrics,
         )
-        limitnews.connect(news, limits)
+        limitupdates.connect(updates, limits)
         return limits
 
     async def _open_relay(
         self,
         stack: contextlib.AsyncExitStack,
         session: aiohttp.ClientSession,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         limits: endpointlimits.EndpointLimits,
     ) -> relays.ExchangeRelay:
         """Puts together what serves an exchange."""
@@ -217,7 +219,7 @@
             self.directory,
             self.book,
             self.health,
-            news,
+            updates,
             candidates.Candidates(
                 self.directory,
                 self.health,
@@ -234,13 +236,18 @@
             self.settings.data_centre,
             self.timers,
         )
-        stack.enter_context(self.timers.subscribe(TIDY_S, placer.tidy))
-        taker = statements.StatementTaker(
+        stack.enter_context(
+            self.timers.subscribe(TIDY_S, placer.remove_unlisted)
+        )
+        statement_handler = statements.StatementHandler(
             self.directory, limits, self.rests, self.timers, self.metrics
         )
         lease_holder = await stack.enter_async_context(
             leases.open_holder(
-                self._make_leases(session), bounds, taker, self.timers
+                self._make_leases(session),
+                bounds,
+                statement_handler,
+                self.timers,
             )
         )
         endpoint_sessions = await stack.enter_async_context(
@@ -251,32 +258,32 @@
             transports.EndpointTransport(endpoint_sessions, self._dialect),
             self.health,
             lease_holder,
-            taker,
+            statement_handler,
             self.timers,
         )
-        outcome = outcomes.Outcomes(
+        outcome = outcomes.OutcomeRecorder(
             self.health,
-            news,
+            updates,
             self.peers.count_instances,
             bounds,
             self.timers,
             self.metrics,
         )
-        crash_watch = crashes.CrashWatch(news, self.timers)
+        crash_detector = crashes.CrashDetector(updates, self.timers)
         return relays.ExchangeRelay(
-            placer, runner, outcome, crash_watch, self.timers
+            placer, runner, outcome, crash_detector, self.timers
         )
 
     async def _listen(
         self,
         stack: contextlib.AsyncExitStack,
         relay: relays.ExchangeRelay,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
     ) -> None:
         """Listens for callers, the balancer, peers and scrapers."""
         settings = self.settings
-        door = frontdoor.FrontDoor(
-            self.authority,
+        request_handler = requesthandler.RequestHandler(
+            self.config_lease,
             self._dialect,
             relay,
             self.state.listed,
@@ -287,18 +294,24 @@
         )
         feed = statefeed.StateServer(
             self.state,
-            self.authority,
+            self.config_lease,
             self.directory,
             self.subsets,
-            news.source,
+            updates.source,
             self.metrics,
             self.eras,
         )
         pages = statuspages.StatusPages(
-            self.lifecycle, self.authority, self.eras, self.timers, self.metrics
+            self.lifecycle,
+            self.config_lease,
+            self.eras,
+            self.timers,
+            self.metrics,
         )
         self._callers = await stack.enter_async_context(
-            listeners.open_listener(door.handle, settings.callers, KEEPALIVE_S)
+            listeners.open_listener(
+                request_handler.handle, settings.callers, KEEPALIVE_S
+            )
         )
         for handler, address in (
             (pages.answer_readiness, settings.readiness),
@@ -321,7 +334,7 @@
             self.settings.data_centre,
             self.state,
             self.directory,
-            self.authority,
+            self.config_lease,
             self.timers,
             self.eras,
         )
@@ -329,10 +342,10 @@
             store,
             self._dialect,
             self.state,
-            self.authority,
+            self.config_lease,
             client,
             self.peers,
-            followers.Pace(self.settings.bounds.apply_s),
+            followers.PollIntervals(self.settings.bounds.apply_s),
             self.timers,
             self._rng,
             self.eras,
@@ -341,7 +354,7 @@
     async def _follow(
         self,
         store: stores.ObjectStore,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         follower: followers.StoreFollower,
     ) -> None:
         """Finds peers, for a moment at most, then follows the state."""
@@ -349,7 +362,7 @@
             self.settings,
             store,
             self.peers,
-            news,
+            updates,
             self.timers,
             self.eras,
             self.metrics,
@@ -385,7 +398,7 @@
     async def _wait_state(self) -> None:
         """Waits for endpoints and a configuration that may be used."""
         await self.state.listed.wait()
-        while await self.authority.wait_valid(LOOK_S) is None:
+        while await self.config_lease.wait_valid(LOOK_S) is None:
             pass
 
     def _log_lifecycle(self, step: Callable[[], None]) -> None:
--- a/rhubarblock/daemon/peersearch.py
+++ b/rhubarblock/daemon/peersearch.py
@@ -5,8 +5,8 @@
 import zlib
 
 from rhubarblock.daemon import listing
-from rhubarblock.exchange.peering import news as news_lib
 from rhubarblock.exchange.peering import table as peer_table
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.settings import exchange as settings_lib
@@ -31,7 +31,7 @@
         "_eras",
         "_line",
         "_metrics",
-        "_news",
+        "_updates",
         "_peers",
         "_settings",
         "_store",
@@ -43,7 +43,7 @@
         settings: settings_lib.ExchangeSettings,
         store: stores.ObjectStore,
         peers: peer_table.PeerTable,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         timers: timer_service.Timers,
         eras: era_lib.EraTracker,
         metrics: metric_store.Metrics,
@@ -54,7 +54,7 @@
           settings: who this instance is.
           store: has the list.
           peers: takes who is there.
-          news: greets them.
+          updates: greets them.
           timers: sleeps.
           eras: tells when the store came back older.
           metrics: counts lines that were written again.
@@ -73,7 +73,7 @@
         self._settings = settings
         self._store = store
         self._peers = peers
-        self._news = news
+        self._updates = updates
         self._timers = timers
 
     async def run(self) -> None:
@@ -92,7 +92,7 @@
     async def _greet_listed(self, page: stores.Page) -> None:
         for stored in page.objects:
             self._take_line(stored)
-        await self._news.greet()
+        await self._updates.send_heartbeat()
 
     async def keep_listed(self) -> None:
         """Writes the line again when the store came back without it.
--- a/rhubarblock/daemon/statuspages.py
+++ b/rhubarblock/daemon/statuspages.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 
-from rhubarblock.exchange.state import authority as authorities
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.kernel import exposition
 from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
@@ -13,12 +13,12 @@
 class StatusPages:
     """Handlers of the readiness and the metrics address."""
 
-    __slots__ = ("_authority", "_eras", "_lifecycle", "_metrics", "_timers")
+    __slots__ = ("_config_lease", "_eras", "_lifecycle", "_metrics", "_timers")
 
     def __init__(
         self,
         lifecycle: lifecycles.InstanceLifecycle,
-        authority: authorities.Authority,
+        config_lease: config_leases.ConfigurationLease,
         eras: era_lib.EraTracker,
         timers: timer_service.LoopTimers,
         metrics: metric_store.Metrics,
@@ -27,13 +27,13 @@
 
         Args:
           lifecycle: its state.
-          authority: the configuration in force.
+          config_lease: the configuration in force.
           eras: the store's era.
           timers: counts wake-ups.
           metrics: counters to show.
         """
         self._lifecycle = lifecycle
-        self._authority = authority
+        self._config_lease = config_lease
         self._eras = eras
         self._timers = timers
         self._metrics = metrics
@@ -45,7 +45,7 @@
         del request
         ready = (
             self._lifecycle.state is lifecycles.LifecycleState.READY
-            and self._authority.find_valid() is not None
+            and self._config_lease.find_valid() is not None
         )
         return web.Response(status=200 if ready else 503)
 
@@ -57,8 +57,8 @@
         for name, value in (
             ("exchange.in_flight", self._lifecycle.in_flight),
             ("timers.wakeups", self._timers.wakeups),
-            ("configuration.version", self._authority.version),
-            ("configuration.age_s", self._authority.age_s),
+            ("configuration.version", self._config_lease.version),
+            ("configuration.age_s", self._config_lease.age_s),
             ("store.era", self._eras.current),
         ):
             self._metrics.gauge(name, value)
--- a/rhubarblock/exchange/attempts.py
+++ b/rhubarblock/exchange/attempts.py
@@ -129,7 +129,7 @@
         transport: transports.EndpointTransport,
         health: healths.Health,
         lease_holder: leases.LeaseHolder,
-        statement_taker: statements.StatementTaker,
+        statement_handler: statements.StatementHandler,
         timers: timer_service.Timers,
     ):
         """Creates a runner.
@@ -139,14 +139,14 @@
           transport: sends to endpoints.
           health: hears of endpoints that answered.
           lease_holder: holds memory at engines.
-          statement_taker: hears what endpoints say of themselves.
+          statement_handler: hears what endpoints say of themselves.
           timers: the clock.
         """
         self._placer = placer
         self._transport = transport
         self._health = health
         self._leases = lease_holder
-        self._statements = statement_taker
+        self._statements = statement_handler
         self._timers = timers
 
     async def run(
@@ -193,7 +193,7 @@
         exchange = flow.exchange
         if not self._statements.may_send(place.endpoint):
             raise ClosedError(place.endpoint.endpoint_id)
-        order = dialects.SendOrder(
+        order = dialects.SendOptions(
             place.endpoint.endpoint_id,
             exchange.deadline_s - self._timers.read_monotonic(),
             place.urgency,
--- a/rhubarblock/exchange/callbook.py
+++ b/rhubarblock/exchange/callbalancer.py
@@ -14,7 +14,7 @@
 FULL_S = 0.2
 
 
-class CallBook:
+class CallBalancer:
     """Counts the calls of one instance by endpoint."""
 
     __slots__ = (
--- a/rhubarblock/exchange/callbook_test.py
+++ b/rhubarblock/exchange/callbalancer_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from rhubarblock.exchange import callbook
+from rhubarblock.exchange import callbalancer
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
@@ -15,7 +15,7 @@
 
 def run(step):
     async def main():
-        book = callbook.CallBook(
+        book = callbalancer.CallBalancer(
             healths.Health("osu-hall"), "osu-hall", timer_service.LoopTimers()
         )
         return await step(book)
@@ -41,7 +41,7 @@
     async def step(book):
         book.note_refused("e1")
         seen = [choose(book)]
-        await asyncio.sleep(callbook.FULL_S)
+        await asyncio.sleep(callbalancer.FULL_S)
         return [*seen, choose(book)]
 
     assert run(step) == ["e2", "e1"]
--- a/rhubarblock/exchange/crashes.py
+++ b/rhubarblock/exchange/crashes.py
@@ -16,7 +16,7 @@
 from rhubarblock.core import exchange as exchanges
 from rhubarblock.core import failure as failures
 from rhubarblock.core import listed as lists
-from rhubarblock.exchange.peering import news as news_lib
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing.quarantine import book as quarantinebook
 
@@ -45,13 +45,13 @@
     return False
 
 
-class CrashWatch:
+class CrashDetector:
     """What runs where, and what is laid to it."""
 
     __slots__ = (
         "_book",
         "_has_crashed",
-        "_news",
+        "_updates",
         "_running",
         "_tasks",
         "_timers",
@@ -59,24 +59,24 @@
 
     def __init__(
         self,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         timers: timer_service.Timers,
         trial: Trial = has_crashed,
     ):
         """Starts with an empty book.
 
         Args:
-          news: tells peers and hears of them.
+          updates: tells peers and hears of them.
           timers: the clock; times stay within this instance.
           trial: says whether nobody listens at an address.
         """
         self._book = quarantinebook.QuarantineBook()
-        self._news = news
+        self._updates = updates
         self._timers = timers
         self._has_crashed = trial
         self._running: dict[str, dict[str, float]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        news.on_crash = self._hear
+        updates.on_crash = self._hear
 
     def check(self, exchange: exchanges.Exchange) -> None:
         """Refuses an exchange that is in quarantine.
@@ -147,7 +147,7 @@
             extra={"endpoint": endpoint.endpoint_id, "under": sorted(young)},
         )
         self._hear(endpoint.endpoint_id, ages)
-        self._news.tell_crash(endpoint.endpoint_id, ages)
+        self._updates.announce_crash(endpoint.endpoint_id, ages)
 
     def _hear(self, endpoint_id: str, ages: dict[str, float]) -> None:
         now_s = self._timers.read_monotonic()
--- a/rhubarblock/exchange/crashes_test.py
+++ b/rhubarblock/exchange/crashes_test.py
@@ -11,7 +11,7 @@
 from rhubarblock.kernel import virtualloop
 
 
-class News:
+class PeerUpdates:
     """Tells all watches at once."""
 
     def __init__(self, group):
@@ -19,7 +19,7 @@
         self.group = group
         group.append(self)
 
-    def tell_crash(self, endpoint_id, ages):
+    def announce_crash(self, endpoint_id, ages):
         for other in self.group:
             if other is not self:
                 other.on_crash(endpoint_id, ages)
@@ -37,7 +37,8 @@
     timers = timer_service.LoopTimers(0.0)
     group = []
     return [
-        crashes.CrashWatch(News(group), timers, trial) for _ in range(count)
+        crashes.CrashDetector(PeerUpdates(group), timers, trial)
+        for _ in range(count)
     ]
 
 
--- a/rhubarblock/exchange/dialect.py
+++ b/rhubarblock/exchange/dialect.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SendOrder:
+class SendOptions:
     """How one attempt is addressed.
 
     Attributes:
@@ -134,7 +134,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class LeaseOrder:
+class LeaseRequest:
     """Memory to set aside at an engine.
 
     Attributes:
@@ -153,7 +153,7 @@
 
     @abc.abstractmethod
     async def reserve(
-        self, endpoint: listed.ListedEndpoint, order: LeaseOrder
+        self, endpoint: listed.ListedEndpoint, order: LeaseRequest
     ) -> LeaseReply:
         """Sets memory aside, or renews what is set aside under the same id."""
 
@@ -182,20 +182,20 @@
         """Decodes a caller's head."""
 
     @abc.abstractmethod
-    def pass_on(
+    def filter_request_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
         """Returns a caller's fields that go to the endpoint unchanged."""
 
     @abc.abstractmethod
-    def pass_back(
+    def filter_response_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
         """Returns an endpoint's fields that go to the caller unchanged."""
 
     @abc.abstractmethod
     def address(
-        self, exchange: exchanges.Exchange, order: SendOrder
+        self, exchange: exchanges.Exchange, order: SendOptions
     ) -> list[tuple[str, str]]:
         """Returns the head with which an exchange goes to an endpoint."""
 
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -227,15 +227,17 @@
         if self._book.find(endpoint_id) is not None:
             self._held.take(endpoint_id, self._timers.read_monotonic())
 
-    def hear_report(self, report: messages.LimitReport) -> None:
+    def receive_report(self, report: messages.LimitReport) -> None:
         """Takes in what a peer tells of an endpoint."""
         now_s = self._timers.read_monotonic()
         if self._book.hear(report, now_s):
             self._take_change(report.endpoint_id)
 
-    def hear_request(self, peer: str, request: messages.PermitRequest) -> None:
+    def receive_request(
+        self, peer: str, request: messages.PermitRequest
+    ) -> None:
         """Answers a peer that asks for permits."""
-        self.hear_report(request.report)
+        self.receive_report(request.report)
         now_s = self._timers.read_monotonic()
         grant = self._coordinator.grant(peer, request, now_s)
         if grant is not None:
@@ -245,11 +247,11 @@
         if ended is not None:
             self._peers.send_report(peer, ended)
 
-    def hear_grant(self, peer: str, grant: messages.PermitGrant) -> None:
+    def receive_grant(self, peer: str, grant: messages.PermitGrant) -> None:
         """Takes in permits of a peer."""
         self._requester.hear(peer, grant)
 
-    def tell_start(self, peer: str) -> None:
+    def send_limits(self, peer: str) -> None:
         """Tells a peer that has just started of all limits."""
         now_s = self._timers.read_monotonic()
         for endpoint_id in self._book.list_ids():
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -16,17 +16,17 @@
 from rhubarblock.exchange import crashes
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange import endpointlimits
-from rhubarblock.exchange import frontdoor
 from rhubarblock.exchange import leases
 from rhubarblock.exchange import outcomes
 from rhubarblock.exchange import placer as placers
 from rhubarblock.exchange import relay as relays
+from rhubarblock.exchange import requesthandler
 from rhubarblock.exchange import statements
 from rhubarblock.exchange import transport as transports
-from rhubarblock.exchange.peering import limitnews
-from rhubarblock.exchange.peering import news as news_lib
+from rhubarblock.exchange.peering import limitupdates
 from rhubarblock.exchange.peering import table as peer_table
-from rhubarblock.exchange.state import authority as authorities
+from rhubarblock.exchange.peering import updates as peer_updates
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import lifecycle as lifecycles
@@ -213,7 +213,7 @@
 
 def make_taker(limits, timers):
     metrics = metric_store.Metrics()
-    return statements.StatementTaker(
+    return statements.StatementHandler(
         directories.Directory(timers),
         limits,
         rests.Rests(metrics),
@@ -268,10 +268,10 @@
         self.lifecycle = lifecycles.InstanceLifecycle()
         self.listed = asyncio.Event()
         self.listed.set()
-        self.authority = authorities.Authority(BOUNDS.revoke_s)
+        self.config_lease = config_leases.ConfigurationLease(BOUNDS.revoke_s)
         self.subsets = subsets.Subsets(self.directory)
         table = peer_table.PeerTable("i1", "osu-hall", self.timers)
-        self.news = news_lib.News(
+        self.updates = peer_updates.PeerUpdates(
             "i1",
             "s1",
             "osu-hall",
@@ -283,8 +283,8 @@
             self.metrics,
         )
         self.limits = endpointlimits.EndpointLimits(
-            limitnews.NewsLimitPeers(
-                self.news, table, self.subsets, "i1", "osu-hall", self.timers
+            limitupdates.DatagramLimitPeers(
+                self.updates, table, self.subsets, "i1", "osu-hall", self.timers
             ),
             random.Random(1),
             self.timers,
@@ -295,7 +295,7 @@
             self.directory,
             self.book,
             self.health,
-            self.news,
+            self.updates,
             candidates.Candidates(
                 self.directory,
                 self.health,
@@ -312,7 +312,7 @@
             "osu-hall",
             self.timers,
         )
-        self.statements = statements.StatementTaker(
+        self.statements = statements.StatementHandler(
             self.directory, self.limits, self.rests, self.timers, self.metrics
         )
         self.sessions = sessions
@@ -330,15 +330,15 @@
         self.relay = relays.ExchangeRelay(
             self.placer,
             runner,
-            outcomes.Outcomes(
+            outcomes.OutcomeRecorder(
                 self.health,
-                self.news,
+                self.updates,
                 lambda: 8,
                 BOUNDS,
                 self.timers,
                 self.metrics,
             ),
-            crashes.CrashWatch(self.news, self.timers),
+            crashes.CrashDetector(self.updates, self.timers),
             self.timers,
         )
 
@@ -349,8 +349,8 @@
             )
 
     def make_door(self, rng):
-        return frontdoor.FrontDoor(
-            self.authority,
+        return requesthandler.RequestHandler(
+            self.config_lease,
             self.dialect,
             self.relay,
             self.listed,
@@ -379,7 +379,7 @@
     """Lets callers in; gives the URL of the instance."""
     parts.lifecycle.mark_ready()
     if table is not None:
-        parts.authority.install(table, parts.authority.read_clock())
+        parts.config_lease.install(table, parts.config_lease.read_clock())
     door = parts.make_door(random.Random(seed))
     server = web.Server(door.handle, handler_cancellation=True)
     loop = asyncio.get_running_loop()
--- a/rhubarblock/exchange/leases.py
+++ b/rhubarblock/exchange/leases.py
@@ -77,12 +77,12 @@
         self,
         client: dialects.LeaseClient,
         bounds: settings_lib.ExchangeBounds,
-        statement_taker: statements.StatementTaker,
+        statement_handler: statements.StatementHandler,
         timers: timer_service.Timers,
     ):
         """Creates a holder; see ``open_holder``."""
         self._client = client
-        self._statements = statement_taker
+        self._statements = statement_handler
         self._timers = timers
         self._hold_s = min(HOLD_PART * bounds.lease_free_s, bounds.lease_max_s)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -128,7 +128,9 @@
     async def _reserve(
         self, lease: Lease, unsure: set[str]
     ) -> dialects.LeaseAnswer:
-        order = dialects.LeaseOrder(lease.lease_id, lease.tokens, self._hold_s)
+        order = dialects.LeaseRequest(
+            lease.lease_id, lease.tokens, self._hold_s
+        )
         # Cancelled on the way, it may have been carried out all the same.
         was_unsure = lease.lease_id in unsure
         unsure.add(lease.lease_id)
@@ -175,7 +177,7 @@
 async def open_holder(
     client: dialects.LeaseClient,
     bounds: settings_lib.ExchangeBounds,
-    statement_taker: statements.StatementTaker,
+    statement_handler: statements.StatementHandler,
     timers: timer_service.Timers,
 ) -> AsyncIterator[LeaseHolder]:
     """Opens a holder that gives everything back before it is closed.
@@ -183,10 +185,10 @@
     Args:
       client: orders memory at engines.
       bounds: how long it may be held.
-      statement_taker: hears what engines say of themselves.
+      statement_handler: hears what engines say of themselves.
       timers: the clock.
     """
-    holder = LeaseHolder(client, bounds, statement_taker, timers)
+    holder = LeaseHolder(client, bounds, statement_handler, timers)
     try:
         yield holder
     finally:
--- a/rhubarblock/exchange/outcomes.py
+++ b/rhubarblock/exchange/outcomes.py
@@ -12,7 +12,7 @@
 from rhubarblock.exchange import places
 from rhubarblock.exchange import silence
 from rhubarblock.exchange import transport as transports
-from rhubarblock.exchange.peering import news as news_lib
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import retrybudget
@@ -28,7 +28,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Learns from the attempts of one instance."""
 
     __slots__ = (
@@ -37,14 +37,14 @@
         "_count_instances",
         "_health",
         "_metrics",
-        "_news",
+        "_updates",
         "_timers",
     )
 
     def __init__(
         self,
         health: healths.Health,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         count_instances: Callable[[], int],
         bounds: settings_lib.ExchangeBounds,
         timers: timer_service.Timers,
@@ -54,14 +54,14 @@
 
         Args:
           health: takes what attempts met.
-          news: tells peers of endpoints that broke.
+          updates: tells peers of endpoints that broke.
           count_instances: how many share what may be repeated in any case.
           bounds: how much may be repeated.
           timers: the clock.
           metrics: counters.
         """
         self._health = health
-        self._news = news
+        self._updates = updates
         self._count_instances = count_instances
         self._bounds = bounds
         self._timers = timers
@@ -188,7 +188,9 @@
             endpoint.endpoint_id, endpoint.data_centre, now_s
         )
         if is_news:
-            self._news.tell_broken(endpoint.endpoint_id, endpoint.data_centre)
+            self._updates.announce_broken(
+                endpoint.endpoint_id, endpoint.data_centre
+            )
 
     def _budget(self, exchange: exchanges.Exchange) -> retrybudget.RetryBudget:
         name = exchange.service.name
--- a/rhubarblock/exchange/peering/__init__.py
+++ b/rhubarblock/exchange/peering/__init__.py
@@ -1,4 +1,5 @@
 """The other instances, and what instances tell each other.
 
-Others use ``table`` (who is there) and ``news`` (datagrams about placed work).
+Others use ``table`` (who is there) and ``updates`` (datagrams about placed
+work).
 """
--- a/rhubarblock/exchange/peering/limitnews.py
+++ b/rhubarblock/exchange/peering/limitupdates.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from rhubarblock.exchange import endpointlimits
-from rhubarblock.exchange.peering import news as news_lib
 from rhubarblock.exchange.peering import table as peer_table
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.fleet import rendezvous
 from rhubarblock.kernel import timers as timer_service
@@ -18,7 +18,7 @@
 _MS_PER_S = 1e3
 
 
-class NewsLimitPeers(limitpeers.LimitPeers):
+class DatagramLimitPeers(limitpeers.LimitPeers):
     """The other instances, reached through the news of this one.
 
     A peer is named by the address of its datagrams, ``host:port``.
@@ -26,7 +26,7 @@
 
     __slots__ = (
         "_data_centre",
-        "_news",
+        "_updates",
         "_own_id",
         "_subsets",
         "_table",
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         table: peer_table.PeerTable,
         subsets_: subsets.Subsets,
         own_id: str,
@@ -45,14 +45,14 @@
         """Creates peers over what is known of them.
 
         Args:
-          news: sends and receives datagrams.
+          updates: sends and receives datagrams.
           table: the other instances.
           subsets_: which instances use which endpoints.
           own_id: name of this instance.
           data_centre: where it runs.
           timers: the clock.
         """
-        self._news = news
+        self._updates = updates
         self._table = table
         self._subsets = subsets_
         self._own_id = own_id
@@ -76,33 +76,33 @@
 
     def send_request(self, peer: str, request: messages.PermitRequest) -> None:
         fields = [
-            news_lib.PERMIT_REQUEST,
+            peer_updates.PERMIT_REQUEST,
             *_encode_report(request.report),
             request.wanted,
             _to_ms(request.free_in_s),
             _to_ms(request.within_s),
         ]
-        self._news.send_to(_parse(peer), fields)
+        self._updates.send_to(_parse(peer), fields)
 
     def send_grant(self, peer: str, grant: messages.PermitGrant) -> None:
         fields = [
-            news_lib.PERMIT_GRANT,
+            peer_updates.PERMIT_GRANT,
             grant.endpoint_id,
             grant.count,
             _to_ms(grant.delay_s),
             _to_ms(grant.spacing_s),
             _to_ms(grant.again_s),
         ]
-        self._news.send_to(_parse(peer), fields)
+        self._updates.send_to(_parse(peer), fields)
 
     def send_report(self, peer: str, report: messages.LimitReport) -> None:
-        fields = [news_lib.LIMIT_REPORT, *_encode_report(report)]
-        self._news.send_to(_parse(peer), fields)
+        fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
+        self._updates.send_to(_parse(peer), fields)
 
     def tell_report(self, report: messages.LimitReport) -> None:
-        fields = [news_lib.LIMIT_REPORT, *_encode_report(report)]
+        fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
         for address, _ in self._list_users(report.endpoint_id):
-            self._news.send_to(address, fields)
+            self._updates.send_to(address, fields)
 
     def _list_users(
         self, endpoint_id: str
@@ -116,27 +116,29 @@
         ]
 
 
-def connect(news: news_lib.News, limits: endpointlimits.EndpointLimits) -> None:
+def connect(
+    updates: peer_updates.PeerUpdates, limits: endpointlimits.EndpointLimits
+) -> None:
     """Lets limits hear what peers tell."""
     steps: dict[str, Callable[[list[Any], str], None]] = {
-        news_lib.LIMIT_REPORT: lambda fields, peer: limits.hear_report(
+        peer_updates.LIMIT_REPORT: lambda fields, peer: limits.receive_report(
             _read_report(fields)
         ),
-        news_lib.PERMIT_REQUEST: lambda fields, peer: limits.hear_request(
-            peer, _read_request(fields)
+        peer_updates.PERMIT_REQUEST: lambda fields, peer: (
+            limits.receive_request(peer, _read_request(fields))
         ),
-        news_lib.PERMIT_GRANT: lambda fields, peer: limits.hear_grant(
+        peer_updates.PERMIT_GRANT: lambda fields, peer: limits.receive_grant(
             peer, _read_grant(fields)
         ),
     }
     for code, step in steps.items():
-        news.listen(code, _make_listener(step))
-    news.on_start = lambda address: limits.tell_start(_name(address))
+        updates.listen(code, _make_listener(step))
+    updates.on_start = lambda address: limits.send_limits(_name(address))
 
 
 def _make_listener(
     step: Callable[[list[Any], str], None],
-) -> news_lib.Listener:
+) -> peer_updates.Listener:
     return lambda fields, address: step(fields, _name(address))
 
 
--- a/rhubarblock/exchange/peering/limitnews_test.py
+++ b/rhubarblock/exchange/peering/limitupdates_test.py
@@ -6,8 +6,8 @@
 from rhubarblock.core import ratelimit as ratelimits
 from rhubarblock.exchange import endpointlimits
 from rhubarblock.exchange import fakeparts_test as fakes
-from rhubarblock.exchange.peering import limitnews
-from rhubarblock.exchange.peering import news_test
+from rhubarblock.exchange.peering import limitupdates
+from rhubarblock.exchange.peering import updates_test
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing.endpointlimits import messages
@@ -15,19 +15,19 @@
 NAMED = ratelimits.StatedLimit(50.0)
 
 
-class End(news_test.End):
+class End(updates_test.End):
     """An instance's news with its limits."""
 
     def __init__(self, name):
         super().__init__(name)
         timers = timer_service.LoopTimers()
-        self.net_peers = limitnews.NewsLimitPeers(
-            self.news, self.peers, self.news._subsets, name, "osu", timers
+        self.net_peers = limitupdates.DatagramLimitPeers(
+            self.updates, self.peers, self.updates._subsets, name, "osu", timers
         )
         self.limits = endpointlimits.EndpointLimits(
             self.net_peers, random.Random(1), timers, metric_store.Metrics()
         )
-        limitnews.connect(self.news, self.limits)
+        limitupdates.connect(self.updates, self.limits)
 
     @property
     def name(self):
@@ -38,8 +38,8 @@
     async def main():
         first, second = End("i1"), End("i2")
         async with (
-            first.news.open("127.0.0.1", 0),
-            second.news.open("127.0.0.1", 0),
+            first.updates.open("127.0.0.1", 0),
+            second.updates.open("127.0.0.1", 0),
         ):
             first.peers.add(*second.address, "i2", "osu")
             second.peers.add(*first.address, "i1", "osu")
@@ -55,10 +55,10 @@
 def test_peer_hears_of_a_limit_and_of_its_end():
     async def step(first, second):
         first.limits.note_answer("e1", NAMED, 0.0)
-        await news_test.wait_for(lambda: find_rate(second) == 50.0)
+        await updates_test.wait_for(lambda: find_rate(second) == 50.0)
         sent_s = asyncio.get_running_loop().time()
         second.limits.note_answer("e1", ratelimits.NO_STATED_LIMIT, sent_s)
-        await news_test.wait_for(lambda: find_rate(first) is None)
+        await updates_test.wait_for(lambda: find_rate(first) is None)
 
     run(step)
 
@@ -67,7 +67,7 @@
     async def step(first, second):
         first.limits.note_answer("e1", NAMED, 0.0)
         needy = [fakes.make_endpoint(1)]
-        await news_test.wait_for(lambda: find_rate(second))
+        await updates_test.wait_for(lambda: find_rate(second))
         chosen = [
             end.net_peers.choose_coordinator("e1", set()) or end.name
             for end in (first, second)
@@ -96,9 +96,9 @@
 def test_peer_that_starts_is_told_of_limits():
     async def step(first, second):
         report = messages.LimitReport("e1", 3.0, 1.0, 1.0)
-        first.limits.hear_report(report)
-        await second.news.greet()
-        await news_test.wait_for(lambda: find_rate(second) == 3.0)
+        first.limits.receive_report(report)
+        await second.updates.send_heartbeat()
+        await updates_test.wait_for(lambda: find_rate(second) == 3.0)
 
     run(step)
 
@@ -106,10 +106,10 @@
 def test_datagram_that_cannot_be_read_is_left_out():
     async def step(first, second):
         for fields in ([1], ["e1", "x", 0, 0], ["e1", 2.0], [None, None]):
-            first.news.send_to(second.address, ["l", *fields])
-            first.news.send_to(second.address, ["q", *fields])
-            first.news.send_to(second.address, ["t", *fields])
+            first.updates.send_to(second.address, ["l", *fields])
+            first.updates.send_to(second.address, ["q", *fields])
+            first.updates.send_to(second.address, ["t", *fields])
         first.limits.note_answer("e1", NAMED, 0.0)
-        await news_test.wait_for(lambda: find_rate(second) == 50.0)
+        await updates_test.wait_for(lambda: find_rate(second) == 50.0)
 
     run(step)
--- a/rhubarblock/exchange/peering/news.py
+++ b/rhubarblock/exchange/peering/updates.py
@@ -50,7 +50,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class News(asyncio.DatagramProtocol):
+class PeerUpdates(asyncio.DatagramProtocol):
     """Tells peers of placed work and hears of theirs.
 
     Attributes:
@@ -124,7 +124,7 @@
         return f"{self._prefix}.{number}"
 
     @contextlib.asynccontextmanager
-    async def open(self, host: str, port: int) -> AsyncIterator["News"]:
+    async def open(self, host: str, port: int) -> AsyncIterator["PeerUpdates"]:
         """Listens while the context is open."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -133,13 +133,15 @@
         self._transport = transport
         self._peers.set_own((host, port))
         try:
-            with self._timers.subscribe(peer_table.GREETING_S, self.greet):
+            with self._timers.subscribe(
+                peer_table.GREETING_S, self.send_heartbeat
+            ):
                 yield self
         finally:
             self._transport = None
             transport.close()
 
-    async def greet(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Gives a sign of life, each time only to those that may rely on it."""
         is_for_all = self._greetings % peer_table.FAR_GREETINGS == 0
         self._greetings += 1
@@ -152,19 +154,19 @@
             lambda address, peer: address in group or not peer.instance_id,
         )
 
-    def tell_placed(self, job: enginebook.Job) -> None:
+    def announce_placed(self, job: enginebook.Job) -> None:
         """Tells peers that use its engines of a job that was placed."""
         now_s = self._timers.read_monotonic()
         self._own_jobs[job.job_id] = (job, now_s)
         fields = _describe_job(job, job.parts[0].read_s)
         self._send(fields, self._make_filter(job))
 
-    def tell_ended(self, job: enginebook.Job) -> None:
+    def announce_ended(self, job: enginebook.Job) -> None:
         """Tells the same peers that the job ended."""
         self._own_jobs.pop(job.job_id, None)
         self._send([_ENDED, job.job_id], self._make_filter(job))
 
-    def tell_broken(self, endpoint_id: str, data_centre: str) -> None:
+    def announce_broken(self, endpoint_id: str, data_centre: str) -> None:
         """Tells peers of an endpoint that broke a connection or kept silent.
 
         Only those of this data centre hear of it, as they use the same way.
@@ -174,7 +176,7 @@
             self._is_near,
         )
 
-    def tell_crash(self, endpoint_id: str, ages: dict[str, float]) -> None:
+    def announce_crash(self, endpoint_id: str, ages: dict[str, float]) -> None:
         """Tells peers under which requests, by age, an endpoint crashed."""
         rounded = {digest: round(age_s, 2) for digest, age_s in ages.items()}
         fields = [_CRASH, endpoint_id, rounded]
--- a/rhubarblock/exchange/peering/news_test.py
+++ b/rhubarblock/exchange/peering/updates_test.py
@@ -1,8 +1,8 @@
 import asyncio
 
 from rhubarblock.core import listed as lists
-from rhubarblock.exchange.peering import news as news_lib
 from rhubarblock.exchange.peering import table as peer_table
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import metrics as metric_store
@@ -22,7 +22,7 @@
     5_700,
     0.3,
 )
-ENGINES_EACH = 5
+SUBSET_SIZE = 5
 
 
 class End:
@@ -32,13 +32,13 @@
         self.health = healths.Health(data_centre)
         self.directory = directories.Directory(timers)
         self.peers = peer_table.PeerTable(name, data_centre, timers)
-        self.news = news_lib.News(
+        self.updates = peer_updates.PeerUpdates(
             name,
             "s1",
             data_centre,
             self.book,
             self.health,
-            subsets.Subsets(self.directory, ENGINES_EACH),
+            subsets.Subsets(self.directory, SUBSET_SIZE),
             self.peers,
             timers,
             metric_store.Metrics(),
@@ -46,15 +46,15 @@
 
     @property
     def address(self):
-        return self.news._transport.get_extra_info("sockname")[:2]
+        return self.updates._transport.get_extra_info("sockname")[:2]
 
 
 def run(step, second_data_centre="osu"):
     async def main():
         first, second = End("i1"), End("i2", second_data_centre)
         async with (
-            first.news.open("127.0.0.1", 0),
-            second.news.open("127.0.0.1", 0),
+            first.updates.open("127.0.0.1", 0),
+            second.updates.open("127.0.0.1", 0),
         ):
             first.peers.add(*second.address)
             return await step(first, second)
@@ -70,11 +70,11 @@
 
 def test_peer_hears_of_a_job_and_of_its_end():
     async def step(first, second):
-        first.news.tell_placed(JOB)
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
         job = second.book.find("a").jobs["i1.s1.1"].job
         held = second.book.find("c").tokens
-        first.news.tell_ended(JOB)
+        first.updates.announce_ended(JOB)
         await wait_for(lambda: not second.book.find("a").jobs)
         return job, held, second.book.find("c").tokens
 
@@ -83,9 +83,9 @@
 
 def test_sender_is_known_from_its_first_datagram():
     async def step(first, second):
-        await first.news.greet()
+        await first.updates.send_heartbeat()
         await wait_for(lambda: second.peers.count_instances() == 2)
-        second.news.tell_placed(JOB)
+        second.updates.announce_placed(JOB)
         await wait_for(lambda: first.book.find("b").reads)
 
     run(step)
@@ -93,8 +93,8 @@
 
 def test_broken_endpoint_is_told_within_a_data_centre():
     async def step(first, second):
-        first.news.tell_broken("a", "osu")
-        first.news.tell_placed(JOB)
+        first.updates.announce_broken("a", "osu")
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
         return second.health.is_on_trial("a")
 
@@ -105,8 +105,8 @@
 def test_datagram_that_cannot_be_read_is_dropped():
     async def step(first, second):
         for data in (b"", b"[]", b"{", b'["p"]', b"[1, 2]", b"\xff"):
-            first.news._transport.sendto(data, second.address)
-        first.news.tell_placed(JOB)
+            first.updates._transport.sendto(data, second.address)
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
 
     run(step)
@@ -115,8 +115,8 @@
 def test_closed_end_tells_nobody():
     async def main():
         end = End("i1")
-        end.news.tell_placed(JOB)
-        await end.news.greet()
+        end.updates.announce_placed(JOB)
+        await end.updates.send_heartbeat()
         return end.peers.count_instances()
 
     assert asyncio.run(main()) == 1
@@ -124,7 +124,7 @@
 
 async def meet(first, second):
     """Makes two instances known to each other by name."""
-    await first.news.greet()
+    await first.updates.send_heartbeat()
     peer = first.peers.find(second.address)
     await wait_for(lambda: peer.instance_id == "i2")
 
@@ -147,15 +147,15 @@
             list_engines(end, 50)
         await meet(first, second)
         for number in range(50):
-            first.news.tell_placed(make_job(number))
+            first.updates.announce_placed(make_job(number))
         # Engines that are not listed are everybody's, so this is heard last.
-        first.news.tell_placed(JOB)
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
         heard = [n for n in range(50) if second.book.find(f"e{n}").jobs]
         used = [
             n
             for n in range(50)
-            if subsets.Subsets(second.directory, ENGINES_EACH).uses(
+            if subsets.Subsets(second.directory, SUBSET_SIZE).uses(
                 "i2", "osu", f"e{n}"
             )
         ]
@@ -170,10 +170,12 @@
     async def step(first, second):
         await meet(first, second)
         heard = []
-        second.news._take = lambda fields, peer, now_s: heard.append(fields[0])
+        second.updates._take = lambda fields, peer, now_s: heard.append(
+            fields[0]
+        )
         for _ in range(5):
-            await first.news.greet()
-        first.news.tell_placed(JOB)
+            await first.updates.send_heartbeat()
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: "p" in heard)
         return heard
 
@@ -184,10 +186,10 @@
 def test_new_start_of_a_peer_runs_none_of_the_old_jobs():
     async def step(first, second):
         await meet(first, second)
-        first.news.tell_placed(JOB)
+        first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
-        first.news._greeting[3] = "i1.s2"
-        await first.news.greet()
+        first.updates._greeting[3] = "i1.s2"
+        await first.updates.send_heartbeat()
         await wait_for(lambda: not second.book.find("a").jobs)
 
     run(step)
@@ -196,14 +198,14 @@
 def test_instance_that_starts_hears_what_runs():
     async def main():
         first, second = End("i1"), End("i2")
-        async with first.news.open("127.0.0.1", 0):
-            first.news.tell_placed(JOB)
+        async with first.updates.open("127.0.0.1", 0):
+            first.updates.announce_placed(JOB)
             ended = enginebook.Job("i1.s1.2", JOB.parts, 0.2)
-            first.news.tell_placed(ended)
-            first.news.tell_ended(ended)
-            async with second.news.open("127.0.0.1", 0):
+            first.updates.announce_placed(ended)
+            first.updates.announce_ended(ended)
+            async with second.updates.open("127.0.0.1", 0):
                 second.peers.add(*first.address)
-                await second.news.greet()
+                await second.updates.send_heartbeat()
                 await wait_for(lambda: second.book.find("a").jobs)
                 return list(second.book.find("a").jobs)
 
--- a/rhubarblock/exchange/placer.py
+++ b/rhubarblock/exchange/placer.py
@@ -7,12 +7,12 @@
 from rhubarblock.core import exchange as exchanges
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.exchange import callbook
+from rhubarblock.exchange import callbalancer
 from rhubarblock.exchange import candidates
 from rhubarblock.exchange import endpointlimits
 from rhubarblock.exchange import flow as flows
 from rhubarblock.exchange import places
-from rhubarblock.exchange.peering import news as news_lib
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
@@ -43,7 +43,7 @@
         "_directory",
         "_health",
         "_limits",
-        "_news",
+        "_updates",
         "_numbers",
         "_parter",
         "_rests",
@@ -55,7 +55,7 @@
         directory: directories.Directory,
         book: enginebook.EngineBook,
         health: healths.Health,
-        news: news_lib.News,
+        updates: peer_updates.PeerUpdates,
         candidates_: candidates.Candidates,
         limits: endpointlimits.EndpointLimits,
         rests_: rests.Rests,
@@ -68,7 +68,7 @@
           directory: endpoints that are known.
           book: what each engine has before it.
           health: takes which endpoints are chosen.
-          news: tells peers what was placed.
+          updates: tells peers what was placed.
           candidates_: endpoints to choose from.
           limits: rate limits that endpoints name.
           rests_: endpoints that asked for rest.
@@ -81,11 +81,11 @@
         self._candidates = candidates_
         self._limits = limits
         self._rests = rests_
-        self._news = news
+        self._updates = updates
         self._timers = timers
         self._data_centre = data_centre
         self._parter = parting.Parter(book, data_centre)
-        self._calls = callbook.CallBook(health, data_centre, timers)
+        self._calls = callbalancer.CallBalancer(health, data_centre, timers)
         self._numbers = 0
 
     @contextlib.contextmanager
@@ -124,7 +124,7 @@
 
     def _make_job_id(self) -> str:
         self._numbers += 1
-        return self._news.make_job_id(self._numbers)
+        return self._updates.make_job_id(self._numbers)
 
     def forget(self, endpoint: lists.ListedEndpoint) -> None:
         """Takes in that another endpoint has the address of one now.
@@ -147,7 +147,7 @@
         helped = self._book.find(engine.endpoint_id).count_helped()
         return 2 * helped >= model.slots
 
-    async def tidy(self) -> None:
+    async def remove_unlisted(self) -> None:
         """Forgets what is known of endpoints that are not listed any more."""
         ids = self._directory.list_ids()
         self._book.keep_only(ids)
@@ -329,13 +329,13 @@
         for engine in choice.engines:
             self._note_chosen(engine, now_s)
         self._book.add(choice.job, now_s)
-        self._news.tell_placed(choice.job)
+        self._updates.announce_placed(choice.job)
         try:
             rate = self._limits.find_rate(choice.engines[0].endpoint_id)
             yield places.make_place(choice, rate)
         finally:
             self._book.remove(choice.job.job_id)
-            self._news.tell_ended(choice.job)
+            self._updates.announce_ended(choice.job)
 
 
 def _find_model(exchange: exchanges.Exchange) -> routes.EngineCostModel | None:
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -55,8 +55,8 @@
         self,
         placer: placers.Placer,
         runner: attempts.AttemptRunner,
-        outcomes_: outcomes.Outcomes,
-        crash_watch: crashes.CrashWatch,
+        outcomes_: outcomes.OutcomeRecorder,
+        crash_detector: crashes.CrashDetector,
         timers: timer_service.Timers,
     ):
         """Creates a relay.
@@ -65,13 +65,13 @@
           placer: chooses endpoints.
           runner: runs attempts.
           outcomes_: learns from how they end, and grants further ones.
-          crash_watch: refuses what crashes endpoints.
+          crash_detector: refuses what crashes endpoints.
           timers: the clock.
         """
         self._placer = placer
         self._runner = runner
         self._outcomes = outcomes_
-        self._crashes = crash_watch
+        self._crashes = crash_detector
         self._timers = timers
         self._queue = permitqueue.PermitQueue()
 
--- a/rhubarblock/exchange/relay_test.py
+++ b/rhubarblock/exchange/relay_test.py
@@ -96,7 +96,7 @@
                 )
             before = parts.health.is_on_trial("e1")
             parts.directory.remove("e1")
-            await parts.placer.tidy()
+            await parts.placer.remove_unlisted()
             return before, parts.health.is_on_trial("e1")
 
     assert asyncio.run(main()) == (True, False)
@@ -283,7 +283,7 @@
         async with fakes.open_parts(endpoint) as parts:
             exchange = fakes.make_exchange(digest="p" * 32)
             for number in (1, 2):
-                parts.news.on_crash(f"gone{number}", {"p" * 32: 0.1})
+                parts.updates.on_crash(f"gone{number}", {"p" * 32: 0.1})
                 await asyncio.sleep(0.0)
                 parts.relay._crashes._timers = _Later(parts.timers, 3.0)
             with pytest.raises(failures.FailureError) as raised:
--- a/rhubarblock/exchange/frontdoor.py
+++ b/rhubarblock/exchange/requesthandler.py
@@ -14,7 +14,7 @@
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange import relay as relays
 from rhubarblock.exchange import sink as sinks
-from rhubarblock.exchange.state import authority as authorities
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
@@ -33,11 +33,11 @@
 _logger = logging.getLogger(__name__)
 
 
-class FrontDoor:
+class RequestHandler:
     """Takes callers' requests."""
 
     __slots__ = (
-        "_authority",
+        "_config_lease",
         "_dialect",
         "_lifecycle",
         "_listed",
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        authority: authorities.Authority,
+        config_lease: config_leases.ConfigurationLease,
         dialect: dialects.Dialect,
         relay: relays.ExchangeRelay,
         listed: asyncio.Event,
@@ -61,7 +61,7 @@
         """Creates a front door.
 
         Args:
-          authority: the configuration in force.
+          config_lease: the configuration in force.
           dialect: spelling of heads.
           relay: serves exchanges.
           listed: set once endpoints are known.
@@ -70,7 +70,7 @@
           metrics: counters.
           rng: parts requests between the services of a route.
         """
-        self._authority = authority
+        self._config_lease = config_lease
         self._dialect = dialect
         self._relay = relay
         self._listed = listed
@@ -112,7 +112,7 @@
                 "verdict": failure.verdict.value,
                 "begun": sink.begun,
                 "retry_after_s": failure.retry_after_s,
-                "configuration": self._authority.version,
+                "configuration": self._config_lease.version,
                 "configuration_age_s": self._describe_age(),
             },
         )
@@ -129,9 +129,9 @@
 
     def _describe_age(self) -> float | None:
         """Returns the age of the configuration in seconds, None without one."""
-        if self._authority.table is None:
+        if self._config_lease.table is None:
             return None
-        return round(self._authority.age_s, 2)
+        return round(self._config_lease.age_s, 2)
 
     async def _check(
         self, request: web.BaseRequest, arrived_s: float
@@ -141,12 +141,12 @@
         Raises:
           failures.FailureError: it may not be served.
         """
-        table = self._authority.table
+        table = self._config_lease.table
         body = await _read_body(
             request, table.bounds if table else routes.CallerBounds()
         )
         wait_s = START_WAIT_S if table is None else LEASE_WAIT_S
-        table = await self._authority.wait_valid(wait_s)
+        table = await self._config_lease.wait_valid(wait_s)
         if not self._listed.is_set():
             # The list comes right after the configuration at a start.
             with contextlib.suppress(TimeoutError):
@@ -174,7 +174,7 @@
             request_id=fields.request_id,
             method=request.method,
             target=request.raw_path,
-            headers=self._dialect.pass_on(
+            headers=self._dialect.filter_request_headers(
                 request.headers.items(), request.headers.get("Connection", "")
             ),
             body=body,
--- a/rhubarblock/exchange/frontdoor_test.py
+++ b/rhubarblock/exchange/requesthandler_test.py
@@ -125,7 +125,7 @@
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with open_door(endpoint) as (parts, session, url):
-            parts.authority._confirmed_s -= 5.0
+            parts.config_lease._confirmed_s -= 5.0
             async with session.post(
                 url + "/a/x", headers=make_headers()
             ) as answer:
@@ -199,7 +199,7 @@
             )
             while not parts.lifecycle.in_flight:
                 await asyncio.sleep(0.001)
-            parts.authority.install(TABLE, parts.authority.read_clock())
+            parts.config_lease.install(TABLE, parts.config_lease.read_clock())
             return (await asked).status
 
     assert asyncio.run(main()) == 200
--- a/rhubarblock/exchange/state/authority.py
+++ b/rhubarblock/exchange/state/configlease.py
@@ -23,7 +23,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Authority:
+class ConfigurationLease:
     """Holds the newest routing table and its lease."""
 
     __slots__ = (
--- a/rhubarblock/exchange/state/authority_test.py
+++ b/rhubarblock/exchange/state/configlease_test.py
@@ -2,7 +2,7 @@
 import itertools
 
 from rhubarblock.core import route as routes
-from rhubarblock.exchange.state import authority as authorities
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.kernel import virtualloop
 
 
@@ -27,77 +27,77 @@
 
 def make_authority():
     clock = Clock()
-    return authorities.Authority(5.0, clock), clock
+    return config_leases.ConfigurationLease(5.0, clock), clock
 
 
 def test_lease_counts_from_the_sending_of_the_read():
-    authority, clock = make_authority()
-    asked_s = authority.read_clock()
+    config_lease, clock = make_authority()
+    asked_s = config_lease.read_clock()
     clock.now_s = 3.0
-    authority.install(make_table(1), asked_s)
-    assert authority.find_valid() is not None
+    config_lease.install(make_table(1), asked_s)
+    assert config_lease.find_valid() is not None
     clock.now_s = 4.7
-    assert authority.find_valid() is not None
+    assert config_lease.find_valid() is not None
     clock.now_s = 4.8
-    assert authority.find_valid() is None
+    assert config_lease.find_valid() is None
 
 
 def test_frozen_instance_holds_no_lease_when_it_wakes():
-    authority, clock = make_authority()
-    authority.install(make_table(1), 0.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(1), 0.0)
     clock.now_s = 9.0
-    assert authority.find_valid() is None
+    assert config_lease.find_valid() is None
 
 
 def test_instance_that_is_cut_off_stops_and_comes_back_with_a_read():
-    authority, clock = make_authority()
-    authority.install(make_table(1), 0.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(1), 0.0)
     clock.now_s = 6.0
-    assert authority.find_valid() is None
-    authority.install(make_table(2, keys=()), 6.0)
-    table = authority.find_valid()
+    assert config_lease.find_valid() is None
+    config_lease.install(make_table(2, keys=()), 6.0)
+    table = config_lease.find_valid()
     assert table.version == 2
     assert table.keys == {}
 
 
 def test_older_table_neither_reverts_nor_extends_the_lease():
-    authority, clock = make_authority()
-    authority.install(make_table(2), 0.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(2), 0.0)
     clock.now_s = 4.9
-    assert not authority.install(make_table(1), 4.9)
-    assert authority.version == 2
-    assert authority.find_valid() is None
+    assert not config_lease.install(make_table(1), 4.9)
+    assert config_lease.version == 2
+    assert config_lease.find_valid() is None
 
 
 def test_confirmation_of_another_version_does_not_extend_the_lease():
-    authority, clock = make_authority()
-    authority.install(make_table(2), 0.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(2), 0.0)
     clock.now_s = 4.0
-    assert not authority.confirm(3, 4.0)
-    assert authority.confirm(2, 4.0)
+    assert not config_lease.confirm(3, 4.0)
+    assert config_lease.confirm(2, 4.0)
     clock.now_s = 8.0
-    assert authority.find_valid() is not None
+    assert config_lease.find_valid() is not None
 
 
 def test_late_answer_does_not_shorten_the_lease():
-    authority, clock = make_authority()
-    authority.install(make_table(1), 3.0)
-    authority.install(make_table(1), 1.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(1), 3.0)
+    config_lease.install(make_table(1), 1.0)
     clock.now_s = 7.0
-    assert authority.find_valid() is not None
+    assert config_lease.find_valid() is not None
 
 
 def test_request_waits_for_the_lease_after_a_freeze():
     async def main():
         clock = Clock()
-        authority = authorities.Authority(5.0, clock)
-        authority.install(make_table(1), 0.0)
+        config_lease = config_leases.ConfigurationLease(5.0, clock)
+        config_lease.install(make_table(1), 0.0)
         clock.now_s = 9.0
-        waiting = asyncio.ensure_future(authority.wait_valid(0.3))
+        waiting = asyncio.ensure_future(config_lease.wait_valid(0.3))
         await asyncio.sleep(0.1)
-        authority.install(make_table(1), 9.0)
+        config_lease.install(make_table(1), 9.0)
         found = await waiting
-        missing = authorities.Authority(5.0, clock)
+        missing = config_leases.ConfigurationLease(5.0, clock)
         return found.version, await missing.wait_valid(0.3)
 
     assert virtualloop.run(main()) == (1, None)
@@ -122,8 +122,8 @@
 
 def walk(removed_s, plan, frozen_s, longest_s):
     """Plays one order and returns the number of moments looked at."""
-    authority, clock = make_authority()
-    authority.install(make_table(1), 0.0)
+    config_lease, clock = make_authority()
+    config_lease.install(make_table(1), 0.0)
     answers = {}
     looked = 0
     for second in range(longest_s):
@@ -131,11 +131,11 @@
         if frozen_s and 4 <= second < 4 + frozen_s:
             continue
         for asked_s, table in answers.pop(second, []):
-            authority.install(table, asked_s)
+            config_lease.install(table, asked_s)
         # Answers that came in the freeze are taken in when it ends.
         for moment in [m for m in answers if m < second]:
             for asked_s, table in answers.pop(moment):
-                authority.install(table, asked_s)
+                config_lease.install(table, asked_s)
         step = plan[second // 4] if second % 4 == 0 else "none"
         if step != "none":
             is_removed = second >= removed_s
@@ -144,9 +144,9 @@
             answers.setdefault(second + delay, []).append((second, table))
             if delay == 0:
                 for asked_s, found in answers.pop(second):
-                    authority.install(found, asked_s)
+                    config_lease.install(found, asked_s)
         looked += 1
-        table = authority.find_valid()
+        table = config_lease.find_valid()
         if table is not None and second > removed_s + 5:
             assert "k" not in table.keys, (removed_s, plan, frozen_s, second)
     return looked
--- a/rhubarblock/exchange/state/erawalk_test.py
+++ b/rhubarblock/exchange/state/erawalk_test.py
@@ -121,9 +121,9 @@
             None,
             name,
             "osu",
-            self.book,
+            self.replica,
             self.directory,
-            self.authority,
+            self.config_lease,
             timers,
             self.eras,
         )
@@ -218,7 +218,7 @@
                 side.eras.take(at.era)
             except stores.StoreError:
                 continue
-            side.book.take_listing(objects, at=at)
+            side.replica.take_listing(objects, at=at)
 
     @stateful.rule(tenths=strategies.integers(1, 40))
     def pass_time(self, tenths):
@@ -265,17 +265,17 @@
         side.eras.take(self.store.era)
         value = self.store.objects.get("config/main")
         if value is not None:
-            side.book.take_configuration(
+            side.replica.take_configuration(
                 value.value, self.timers.now_s, self.store.era
             )
         if self.watched is None or self.watched.era != self.store.era:
             entries = self.store.list_entries()
-            side.book.take_listing(entries, at=self.store.position)
+            side.replica.take_listing(entries, at=self.store.position)
         else:
             for stored in self.store.log:
                 is_entry = stored.name.startswith("servers/")
                 if is_entry and stored.version > self.watched:
-                    side.book.take_change(stored)
+                    side.replica.take_change(stored)
         self.watched = self.store.position
 
     def _ask(self):
@@ -286,7 +286,7 @@
         fields = json.loads(
             json.dumps(
                 self.reader.server._describe(
-                    side.book.identity, self.mark.number, "f", "osu"
+                    side.replica.identity, self.mark.number, "f", "osu"
                 )
             )
         )
@@ -304,7 +304,7 @@
     def check(self):
         now_s = self.timers.now_s
         for side in (self.reader, self.follower):
-            version = side.authority.version
+            version = side.config_lease.version
             assert version >= side.highest, "the configuration reverted"
             side.highest = version
             if now_s > self.written_s + REACH_S and not self.pending:
--- a/rhubarblock/exchange/state/feed.py
+++ b/rhubarblock/exchange/state/feed.py
@@ -26,11 +26,11 @@
 
 from rhubarblock.core import document as documents
 from rhubarblock.core import position as positions
-from rhubarblock.exchange.state import authority as authorities
-from rhubarblock.exchange.state import book as statebook
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import differencewire
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import entrywire
+from rhubarblock.exchange.state import replica as replicas
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
@@ -75,8 +75,8 @@
     """Answers peers."""
 
     __slots__ = (
-        "_authority",
-        "_book",
+        "_config_lease",
+        "_replica",
         "_directory",
         "_encoded",
         "_eras",
@@ -88,8 +88,8 @@
 
     def __init__(
         self,
-        book: statebook.StateBook,
-        authority: authorities.Authority,
+        replica: replicas.StateReplica,
+        config_lease: config_leases.ConfigurationLease,
         directory: directories.Directory,
         subsets_: subsets.Subsets,
         source: str,
@@ -99,8 +99,8 @@
         """Creates a server.
 
         Args:
-          book: the state.
-          authority: the age of the configuration.
+          replica: the state.
+          config_lease: the age of the configuration.
           directory: knows the sizes of services.
           subsets_: which endpoints an instance uses.
           source: names this start of this instance.
@@ -109,8 +109,8 @@
         """
         self._eras = eras
         self._metrics = metrics
-        self._book = book
-        self._authority = authority
+        self._replica = replica
+        self._config_lease = config_lease
         self._directory = directory
         self._subsets = subsets_
         self._source = source
@@ -137,7 +137,7 @@
         if "era" not in query and self._eras.has_changed:
             # A release without eras would take revisions for older ones.
             return web.Response(status=503)
-        await self._book.wait_news(
+        await self._replica.wait_news(
             lambda: self._is_news(known.version, number), wait_s
         )
         if not self._has_state():
@@ -155,14 +155,17 @@
         return web.Response(text=text, content_type="application/json")
 
     def _has_state(self) -> bool:
-        return self._authority.table is not None and self._book.listed.is_set()
+        return (
+            self._config_lease.table is not None
+            and self._replica.listed.is_set()
+        )
 
     def _is_news(self, version: int, number: int) -> bool:
         if not self._has_state():
             return False
-        if self._authority.version > version:
+        if self._config_lease.version > version:
             return True
-        return number == 0 or self._book.number > number
+        return number == 0 or self._replica.number > number
 
     def _is_new(self, known: documents.Identity) -> bool:
         """Says whether an asker lacks the configuration in force here.
@@ -170,9 +173,9 @@
         One of the same version may be another one since the store came back
         older.
         """
-        version = self._authority.version
+        version = self._config_lease.version
         if version == known.version and known.digest:
-            return self._book.identity != known
+            return self._replica.identity != known
         return version > known.version
 
     def _describe(
@@ -182,32 +185,32 @@
         asker: str,
         data_centre: str,
     ) -> dict[str, Any]:
-        news = self._book.list_news(number)
-        objects = news.objects
-        if news.whole and asker:
+        updates = self._replica.list_news(number)
+        objects = updates.objects
+        if updates.whole and asker:
             objects = self._select_used(asker, data_centre, objects)
         is_new = self._is_new(known)
         return {
             "source": self._source,
-            "era": self._book.era,
-            "digest": f"{self._book.identity.digest:x}",
-            "age_s": self._authority.age_s,
-            "version": self._authority.version,
+            "era": self._replica.era,
+            "digest": f"{self._replica.identity.digest:x}",
+            "age_s": self._config_lease.age_s,
+            "version": self._config_lease.version,
             "configuration": self._encode_changes(known) if is_new else None,
-            "number": news.number,
-            "whole": news.whole and self._book.complete,
+            "number": updates.number,
+            "whole": updates.whole and self._replica.complete,
             "sizes": self._directory.count_services(),
             "objects": [entrywire.encode(stored) for stored in objects],
         }
 
     def _encode_changes(self, known: documents.Identity) -> str:
         """Returns the changes since a version, encoded once for all askers."""
-        if self._encoded_for != self._book.identity:
-            self._encoded_for = self._book.identity
+        if self._encoded_for != self._replica.identity:
+            self._encoded_for = self._replica.identity
             self._encoded.clear()
         text = self._encoded.get(known)
         if text is None:
-            text = differencewire.encode(self._book.find_difference(known))
+            text = differencewire.encode(self._replica.find_difference(known))
             self._encoded[known] = text
         return text
 
@@ -231,8 +234,8 @@
     """Asks peers."""
 
     __slots__ = (
-        "_authority",
-        "_book",
+        "_config_lease",
+        "_replica",
         "_data_centre",
         "_directory",
         "_eras",
@@ -248,9 +251,9 @@
         session: aiohttp.ClientSession,
         instance_id: str,
         data_centre: str,
-        book: statebook.StateBook,
+        replica: replicas.StateReplica,
         directory: directories.Directory,
-        authority: authorities.Authority,
+        config_lease: config_leases.ConfigurationLease,
         timers: timer_service.Timers,
         eras: era_lib.EraTracker,
     ):
@@ -260,9 +263,9 @@
           session: HTTP session to use.
           instance_id: name of this instance.
           data_centre: where it runs.
-          book: takes the state.
+          replica: takes the state.
           directory: takes the sizes of services.
-          authority: clock and version of the configuration.
+          config_lease: clock and version of the configuration.
           timers: the clock.
           eras: hears the era in which a peer read its state.
         """
@@ -271,8 +274,8 @@
         self._data_centre = data_centre
         self._directory = directory
         self._session = session
-        self._book = book
-        self._authority = authority
+        self._replica = replica
+        self._config_lease = config_lease
         self._timers = timers
         self._marks: dict[str, Mark] = {}
         # Whether the last changes did not fit.
@@ -296,15 +299,15 @@
           FeedError: it gave no state.
         """
         mark = self._marks.setdefault(address, Mark())
-        asked_s = self._authority.read_clock()
+        asked_s = self._config_lease.read_clock()
         fields = await self._fetch(address, mark, wait_s)
         try:
             confirmed_s = asked_s - float(fields["age_s"])
-            age_s = self._authority.read_clock() - confirmed_s
+            age_s = self._config_lease.read_clock() - confirmed_s
             if age_s >= oldest_s:
                 raise OldStateError(f"its state is {age_s:.2f} s old")
             self._take(fields, mark, confirmed_s, self._take_era(fields))
-            if self._authority.age_s >= oldest_s < math.inf:
+            if self._config_lease.age_s >= oldest_s < math.inf:
                 raise OldStateError("it holds an older configuration")
         except stores.StoreError as error:
             raise FeedError(str(error)) from error
@@ -332,7 +335,9 @@
     async def _fetch(
         self, address: str, mark: Mark, wait_s: float
     ) -> dict[str, Any]:
-        known = documents.NOTHING if self._wants_whole else self._book.identity
+        known = (
+            documents.NOTHING if self._wants_whole else self._replica.identity
+        )
         query = {
             "version": str(known.version),
             "digest": f"{known.digest:x}",
@@ -365,7 +370,7 @@
     ) -> None:
         objects = [entrywire.decode(entry, era) for entry in fields["objects"]]
         if fields["whole"]:
-            self._book.take_listing(
+            self._replica.take_listing(
                 objects, fields["sizes"], positions.Position(era)
             )
         else:
@@ -385,14 +390,14 @@
         changes: str | None = fields["configuration"]
         if changes is None:
             # A release without eras names no digest.
-            own = self._book.identity
+            own = self._replica.identity
             digest = int(fields.get("digest", f"{own.digest:x}"), 16)
             if digest == own.digest:
-                self._authority.confirm(fields["version"], confirmed_s)
+                self._config_lease.confirm(fields["version"], confirmed_s)
             return
         self._wants_whole = True
         difference = differencewire.decode(changes)
-        self._book.take_difference(difference, confirmed_s, era)
+        self._replica.take_difference(difference, confirmed_s, era)
         self._wants_whole = False
 
     def _take_changes(
@@ -400,8 +405,8 @@
     ) -> None:
         """Takes in changes, or a list that may lack what is used here."""
         for stored in objects:
-            self._book.take_change(stored)
-        if not self._book.complete:
+            self._replica.take_change(stored)
+        if not self._replica.complete:
             self._directory.tell_sizes(sizes)
         if objects:
-            self._book.listed.set()
+            self._replica.listed.set()
--- a/rhubarblock/exchange/state/feed_test.py
+++ b/rhubarblock/exchange/state/feed_test.py
@@ -15,12 +15,12 @@
 from rhubarblock.core import position as positions
 from rhubarblock.core import route as routes
 from rhubarblock.exchange import dialect as exchange_dialects
-from rhubarblock.exchange.state import authority as authorities
-from rhubarblock.exchange.state import book as statebook
 from rhubarblock.exchange.state import changelog
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import differencewire
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import feed as statefeed
+from rhubarblock.exchange.state import replica as replicas
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
@@ -28,7 +28,7 @@
 from rhubarblock.store import era as era_lib
 from rhubarblock.store import store as stores
 
-ENGINES_EACH = 5
+SUBSET_SIZE = 5
 
 
 class Dialect(dialects.PlatformDialect):
@@ -55,20 +55,22 @@
 class Side:
     """One instance's state, on a lease clock of its own."""
 
-    def __init__(self, name, clock, timers=None, engines=ENGINES_EACH):
+    def __init__(self, name, clock, timers=None, engines=SUBSET_SIZE):
         self.clock = clock
-        self.authority = authorities.Authority(5.0, lambda: clock.now_s)
+        self.config_lease = config_leases.ConfigurationLease(
+            5.0, lambda: clock.now_s
+        )
         timers = timers or timer_service.LoopTimers()
         self.directory = directories.Directory(timers)
-        self.book = statebook.StateBook(
-            Dialect(), self.authority, self.directory, timers
+        self.replica = replicas.StateReplica(
+            Dialect(), self.config_lease, self.directory, timers
         )
         self.eras = era_lib.EraTracker(metric_store.Metrics())
-        self.eras.listen(self.book.begin_era)
+        self.eras.listen(self.replica.begin_era)
         self.subsets = subsets.Subsets(self.directory, engines)
         self.server = statefeed.StateServer(
-            self.book,
-            self.authority,
+            self.replica,
+            self.config_lease,
             self.directory,
             self.subsets,
             name,
@@ -114,9 +116,9 @@
             session,
             "a",
             "osu",
-            asker.book,
+            asker.replica,
             asker.directory,
-            asker.authority,
+            asker.config_lease,
             asker.timers,
             asker.eras,
         )
@@ -135,17 +137,17 @@
 
 def test_state_comes_whole_and_then_by_its_changes():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a"), entry("b")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a"), entry("b")])
         await client.ask(address, 0.0)
         first = asker.usable()
-        reader.book.take_change(entry("b", b"draining"))
-        reader.book.take_change(entry("c"))
+        reader.replica.take_change(entry("b", b"draining"))
+        reader.replica.take_change(entry("c"))
         await client.ask(address, 0.0)
         second = asker.usable()
-        reader.book.take_change(entry("a", b"", deleted=True))
+        reader.replica.take_change(entry("a", b"", deleted=True))
         await client.ask(address, 0.0)
-        return asker.authority.version, first, second, asker.usable(), asked
+        return asker.config_lease.version, first, second, asker.usable(), asked
 
     version, first, second, third, asked = run(step)
     assert version == 3
@@ -155,23 +157,23 @@
 
 def test_age_counts_from_the_asking():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 98.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 98.0)
+        reader.replica.take_listing([entry("a")])
         await client.ask(address, 0.0)
-        return asker.authority.age_s
+        return asker.config_lease.age_s
 
     assert run(step) == 2.0
 
 
 def test_confirmation_without_news_extends_the_lease():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         await client.ask(address, 0.0)
         reader.clock.now_s = 104.0
-        reader.book.take_configuration(table(3, "k"), 103.5)
+        reader.replica.take_configuration(table(3, "k"), 103.5)
         await client.ask(address, 0.0)
-        return asker.authority.age_s
+        return asker.config_lease.age_s
 
     assert run(step) == 0.5
 
@@ -179,8 +181,8 @@
 def test_frozen_answer_does_not_make_the_state_younger():
     # The asker stands still while the answer is on its way.
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
 
         class Frozen(statefeed.StateClient):
             async def _fetch(self, *arguments):
@@ -192,14 +194,14 @@
             client._session,
             "a",
             "osu",
-            asker.book,
+            asker.replica,
             asker.directory,
-            asker.authority,
+            asker.config_lease,
             asker.timers,
             asker.eras,
         )
         await frozen.ask(address, 0.0)
-        return asker.authority.find_valid()
+        return asker.config_lease.find_valid()
 
     assert run(step) is None
 
@@ -207,52 +209,52 @@
 def test_state_that_is_too_old_brings_no_endpoint_back():
     # The reader lost the store before "a" was removed there.
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 98.0)
-        reader.book.take_listing([entry("a"), entry("b")])
-        asker.book.take_listing([entry("b")])
+        reader.replica.take_configuration(table(3, "k"), 98.0)
+        reader.replica.take_listing([entry("a"), entry("b")])
+        asker.replica.take_listing([entry("b")])
         with pytest.raises(statefeed.OldStateError):
             await client.ask(address, 0.0, 1.3)
         before = asker.usable()
         await client.ask(address, 0.0, 2.5)
-        return before, asker.usable(), asker.authority.version
+        return before, asker.usable(), asker.config_lease.version
 
     assert run(step) == (["b"], ["a", "b"], 3)
 
 
 def test_change_wakes_a_question_that_waits():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         await client.ask(address, 0.0)
         waiting = asyncio.ensure_future(client.ask(address, 0.7))
         while len(asked) < 2:
             await asyncio.sleep(0.001)
-        reader.book.take_configuration(table(4), 100.0)
+        reader.replica.take_configuration(table(4), 100.0)
         await waiting
-        return asker.authority.version
+        return asker.config_lease.version
 
     assert run(step) == 4
 
 
 def test_older_state_of_a_peer_does_not_revert():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
-        asker.book.take_configuration(table(4), 95.5)
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
+        asker.replica.take_configuration(table(4), 95.5)
         await client.ask(address, 0.0)
-        return asker.authority.version, asker.authority.age_s
+        return asker.config_lease.version, asker.config_lease.age_s
 
     assert run(step) == (4, 4.5)
 
 
 def test_restarted_peer_gives_its_whole_list():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3), 100.0)
-        reader.book.take_listing([entry("a"), entry("b")])
+        reader.replica.take_configuration(table(3), 100.0)
+        reader.replica.take_listing([entry("a"), entry("b")])
         await client.ask(address, 0.0)
         again = Side("r.2", reader.clock)
-        again.book.take_configuration(table(3), 100.0)
-        again.book.take_listing([entry("c"), entry("b"), entry("d")])
+        again.replica.take_configuration(table(3), 100.0)
+        again.replica.take_listing([entry("c"), entry("b"), entry("d")])
         reader.server = again.server
         await client.ask(address, 0.0)
         return asker.usable()
@@ -264,7 +266,7 @@
     async def step(reader, asker, client, address, asked):
         with pytest.raises(statefeed.FeedError):
             await client.ask(address, 0.0)
-        return asker.authority.table
+        return asker.config_lease.table
 
     assert run(step) is None
 
@@ -281,9 +283,9 @@
     async def main():
         side = Side("r.1", Clock())
         for number in range(changelog.KEPT_CHANGES + 5):
-            side.book.take_change(entry(f"e{number}"))
-        old = side.book.list_news(4)
-        recent = side.book.list_news(changelog.KEPT_CHANGES)
+            side.replica.take_change(entry(f"e{number}"))
+        old = side.replica.list_news(4)
+        recent = side.replica.list_news(changelog.KEPT_CHANGES)
         return old.whole, len(old.objects), recent.whole, len(recent.objects)
 
     kept = changelog.KEPT_CHANGES
@@ -296,8 +298,8 @@
 
 def test_of_a_long_list_only_what_the_asker_uses_is_passed_on():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing(make_pool(50))
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing(make_pool(50))
         await client.ask(address, 0.0)
         used = [
             f"e{number:02}"
@@ -310,21 +312,21 @@
     assert asker.usable() == used
     assert 0 < len(used) < 20
     assert asker.directory.count("pool") == 50
-    assert not asker.book.complete
+    assert not asker.replica.complete
 
 
 def test_endpoint_that_leaves_is_told_whoever_uses_it():
     # The pool grew since the list was passed on, so the parts were drawn anew.
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing(make_pool(50))
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing(make_pool(50))
         await client.ask(address, 0.0)
         for number in range(50, 300):
             reader.directory.update(
                 listed.ListedEndpoint(f"n{number}", "a", "o", "pool", 8, False)
             )
         for endpoint_id in asker.usable():
-            reader.book.take_change(entry(endpoint_id, b"draining"))
+            reader.replica.take_change(entry(endpoint_id, b"draining"))
         await client.ask(address, 0.0)
         return asker.usable()
 
@@ -333,9 +335,9 @@
 
 def test_instance_with_a_part_of_the_list_takes_nothing_away_from_another():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing(make_pool(30), {"pool": {"osu": 50}})
-        asker.book.take_listing([entry("b")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing(make_pool(30), {"pool": {"osu": 50}})
+        asker.replica.take_listing([entry("b")])
         await client.ask(address, 0.0)
         return asker.usable(), reader.subsets
 
@@ -347,11 +349,15 @@
 
 def test_peer_that_is_behind_brings_nothing_back_that_was_removed():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a", version=4), entry("b", version=4)])
-        asker.book.take_listing([entry("a", version=4), entry("b", version=4)])
-        asker.book.take_change(entry("b", b"", deleted=True, version=5))
-        asker.book.take_change(entry("a", b"draining", version=6))
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing(
+            [entry("a", version=4), entry("b", version=4)]
+        )
+        asker.replica.take_listing(
+            [entry("a", version=4), entry("b", version=4)]
+        )
+        asker.replica.take_change(entry("b", b"", deleted=True, version=5))
+        asker.replica.take_change(entry("a", b"draining", version=6))
         await client.ask(address, 0.0)
         return asker.usable()
 
@@ -360,10 +366,10 @@
 
 def test_entry_that_came_back_in_the_store_is_used_again():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        asker.book.take_listing([entry("b", version=4)])
-        asker.book.take_change(entry("b", b"", deleted=True, version=5))
-        reader.book.take_listing([entry("b", version=7)])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        asker.replica.take_listing([entry("b", version=4)])
+        asker.replica.take_change(entry("b", b"", deleted=True, version=5))
+        reader.replica.take_listing([entry("b", version=7)])
         await client.ask(address, 0.0)
         return asker.usable()
 
@@ -372,13 +378,17 @@
 
 def test_entry_that_only_a_listing_lacked_may_come_back_as_it_was():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a", version=4), entry("b", version=4)])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing(
+            [entry("a", version=4), entry("b", version=4)]
+        )
         await client.ask(address, 0.0)
-        reader.book.take_listing([entry("a", version=4)])
+        reader.replica.take_listing([entry("a", version=4)])
         await client.ask(address, 0.0)
         between = asker.usable()
-        reader.book.take_listing([entry("a", version=4), entry("b", version=4)])
+        reader.replica.take_listing(
+            [entry("a", version=4), entry("b", version=4)]
+        )
         await client.ask(address, 0.0)
         return between, asker.usable()
 
@@ -387,11 +397,11 @@
 
 def test_changes_that_do_not_fit_are_followed_by_the_whole():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         await client.ask(address, 0.0)
-        reader.book.take_configuration(table(4, "k", "l"), 100.0)
-        find = reader.book.find_difference
+        reader.replica.take_configuration(table(4, "k", "l"), 100.0)
+        find = reader.replica.find_difference
 
         def lose_a_piece(known):
             change = find(known)
@@ -399,10 +409,10 @@
                 return change
             return dataclasses.replace(change, changed={})
 
-        reader.server._book = types.SimpleNamespace(
+        reader.server._replica = types.SimpleNamespace(
             find_difference=lose_a_piece,
             **{
-                name: getattr(reader.book, name)
+                name: getattr(reader.replica, name)
                 for name in (
                     "era",
                     "identity",
@@ -416,9 +426,9 @@
         )
         with pytest.raises(statefeed.FeedError):
             await client.ask(address, 0.0)
-        between = asker.authority.version
+        between = asker.config_lease.version
         await client.ask(address, 0.0)
-        return between, asker.authority.version, asked
+        return between, asker.config_lease.version, asked
 
     between, version, asked = run(step)
     assert (between, version) == (3, 4)
@@ -436,8 +446,8 @@
     monkeypatch.setattr(differencewire, "encode", count)
 
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         await client.ask(address, 0.0)
         for number in range(4):
             side = Side(f"b{number}", reader.clock)
@@ -445,14 +455,14 @@
                 client._session,
                 f"b{number}",
                 "osu",
-                side.book,
+                side.replica,
                 side.directory,
-                side.authority,
+                side.config_lease,
                 side.timers,
                 side.eras,
             )
             await other.ask(address, 0.0)
-        reader.book.take_configuration(table(4, "k", "l"), 100.0)
+        reader.replica.take_configuration(table(4, "k", "l"), 100.0)
         await client.ask(address, 0.0)
 
     run(step)
@@ -461,8 +471,8 @@
 
 def test_instance_of_another_release_gets_no_state():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         async with client._session.get(f"http://{address}/state") as answer:
             return answer.status
 
@@ -472,8 +482,8 @@
 def read_both(reader, era, *entries, version=3):
     """Lets the reader read the store in an era."""
     reader.eras.take(era)
-    reader.book.take_configuration(table(version, "k"), 100.0, era)
-    reader.book.take_listing(entries, at=positions.Position(era, 50))
+    reader.replica.take_configuration(table(version, "k"), 100.0, era)
+    reader.replica.take_listing(entries, at=positions.Position(era, 50))
 
 
 def test_whole_list_of_a_later_era_with_lower_revisions_empties_nothing():
@@ -486,7 +496,7 @@
         await client.ask(address, 0.0)
         asker.directory.expire()
         seen = [asker.usable(), asker.eras.current]
-        reader.book.take_change(entry("b", b"draining", version=3, era=2))
+        reader.replica.take_change(entry("b", b"draining", version=3, era=2))
         await client.ask(address, 0.0)
         return [*seen, asker.usable()]
 
@@ -497,7 +507,7 @@
     async def step(reader, asker, client, address, asked):
         read_both(reader, 1, entry("a", era=1), entry("b", era=1))
         await client.ask(address, 0.0)
-        asker.book.take_change(entry("b", version=5, era=1))
+        asker.replica.take_change(entry("b", version=5, era=1))
         client.forget()
         await client.ask(address, 0.0)
         await asyncio.sleep(directories.RETURN_S + 0.1)
@@ -512,10 +522,10 @@
         read_both(reader, 1, entry("a", era=1))
         await client.ask(address, 0.0)
         asker.eras.take(2)
-        reader.book.take_change(entry("a", b"", True, 9, 1))
+        reader.replica.take_change(entry("a", b"", True, 9, 1))
         with pytest.raises(statefeed.FeedError):
             await client.ask(address, 0.0)
-        return asker.usable(), asker.authority.version
+        return asker.usable(), asker.config_lease.version
 
     assert run(step) == (["a"], 3)
 
@@ -538,12 +548,12 @@
     async def step(reader, asker, client, address, asked):
         read_both(reader, 1, entry("a", era=1))
         await client.ask(address, 0.0)
-        asker.book.take_configuration(table(5, "k"), 100.0, 1)
+        asker.replica.take_configuration(table(5, "k"), 100.0, 1)
         reader.clock.now_s += 2.0
-        reader.book.take_configuration(table(3, "k"), 102.0, 1)
+        reader.replica.take_configuration(table(3, "k"), 102.0, 1)
         with pytest.raises(statefeed.OldStateError):
             await client.ask(address, 0.0, 1.3)
-        return asker.authority.version, asker.authority.age_s >= 2.0
+        return asker.config_lease.version, asker.config_lease.age_s >= 2.0
 
     assert run(step) == (5, True)
 
@@ -553,12 +563,12 @@
         read_both(reader, 1, entry("a", era=1))
         await client.ask(address, 0.0)
         reader.eras.take(2)
-        reader.book.take_configuration(table(3, "other"), 100.0, 2)
-        reader.book.take_listing(
+        reader.replica.take_configuration(table(3, "other"), 100.0, 2)
+        reader.replica.take_listing(
             [entry("a", era=2)], at=positions.Position(2, 50)
         )
         await client.ask(address, 0.0)
-        return list(asker.authority.table.keys)
+        return list(asker.config_lease.table.keys)
 
     assert run(step) == ["other"]
 
@@ -582,8 +592,8 @@
 
 def test_state_of_a_release_without_eras_is_taken_until_the_era_changes():
     async def step(reader, asker, client, address, asked):
-        reader.book.take_configuration(table(3, "k"), 100.0)
-        reader.book.take_listing([entry("a")])
+        reader.replica.take_configuration(table(3, "k"), 100.0)
+        reader.replica.take_listing([entry("a")])
         asker.eras.take(4)
         await client.ask(address, 0.0)
         seen = asker.usable()
--- a/rhubarblock/exchange/state/follower.py
+++ b/rhubarblock/exchange/state/follower.py
@@ -17,9 +17,9 @@
 from rhubarblock.core import position as positions
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange.peering import table as peer_table
-from rhubarblock.exchange.state import authority as authorities
-from rhubarblock.exchange.state import book as statebook
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import feed as statefeed
+from rhubarblock.exchange.state import replica as replicas
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.store import backoff as backoffs
 from rhubarblock.store import era as era_lib
@@ -77,7 +77,7 @@
     answer: _Answer
 
 
-class Pace:
+class PollIntervals:
     """How often the state is looked at.
 
     Attributes:
@@ -105,8 +105,8 @@
     """Keeps the state of one instance up to date."""
 
     __slots__ = (
-        "_authority",
-        "_book",
+        "_config_lease",
+        "_replica",
         "_client",
         "_dialect",
         "_eras",
@@ -125,11 +125,11 @@
         self,
         store: stores.ObjectStore,
         dialect: dialects.Dialect,
-        book: statebook.StateBook,
-        authority: authorities.Authority,
+        replica: replicas.StateReplica,
+        config_lease: config_leases.ConfigurationLease,
         client: statefeed.StateClient,
         peers: peer_table.PeerTable,
-        pace: Pace,
+        pace: PollIntervals,
         timers: timer_service.Timers,
         rng: random.Random,
         eras: era_lib.EraTracker,
@@ -139,8 +139,8 @@
         Args:
           store: the object API.
           dialect: names of the objects.
-          book: takes the state.
-          authority: age of the state.
+          replica: takes the state.
+          config_lease: age of the state.
           client: asks peers.
           peers: the other instances.
           pace: how often the state is looked at.
@@ -154,8 +154,8 @@
         eras.listen(self._begin_era)
         self._store = store
         self._dialect = dialect
-        self._book = book
-        self._authority = authority
+        self._replica = replica
+        self._config_lease = config_lease
         self._client = client
         self._peers = peers
         self._pace = pace
@@ -244,19 +244,19 @@
 
     async def _ask_anybody(self) -> None:
         """Asks peers, near ones first, until one has younger state."""
-        before_s = self._authority.age_s
+        before_s = self._config_lease.age_s
         for address in self._peers.list_peers():
             with contextlib.suppress(statefeed.FeedError):
                 await self._client.ask(address, 0.0)
-                if self._authority.age_s < min(before_s, self._pace.old_s):
+                if self._config_lease.age_s < min(before_s, self._pace.old_s):
                     return
 
     async def _read_store(self) -> bool:
-        asked_s = self._authority.read_clock()
+        asked_s = self._config_lease.read_clock()
         try:
             stored = await self._store.read(self._dialect.configuration_name)
             era = stored.version.era
-            self._book.take_configuration(stored.value, asked_s, era)
+            self._replica.take_configuration(stored.value, asked_s, era)
         except (stores.StoreError, ValueError) as error:
             if self._reachable:
                 self._reachable = False
@@ -271,7 +271,7 @@
 
     def _begin_era(self) -> None:
         """Keeps what is in force, and looks at everything anew."""
-        self._book.begin_era()
+        self._replica.begin_era()
         self._client.forget()
         self._has_new_era.set()
 
@@ -302,7 +302,7 @@
                 self._has_new_era.clear()
                 if page.version.era != self._eras.current:
                     continue
-                self._book.take_listing(page.objects, at=page.version)
+                self._replica.take_listing(page.objects, at=page.version)
                 backoff.reset()
                 await self._watch_while_reading(page.version)
             except stores.StoreError as error:
@@ -333,7 +333,7 @@
         changes = self._store.watch(self._dialect.endpoint_prefix, after)
         resumed_s = float("-inf")
         async for stored in changes:
-            self._book.take_change(stored)
+            self._replica.take_change(stored)
             # What changes meanwhile comes with the next answer. The changes of
             # one answer are taken in without a pause between them.
             if self._timers.read_monotonic() - resumed_s > SAME_ANSWER_S:
--- a/rhubarblock/exchange/state/follower_test.py
+++ b/rhubarblock/exchange/state/follower_test.py
@@ -113,16 +113,16 @@
 
     async def ask(self, address, wait_s=0.7, oldest_s=math.inf):
         self.asked.append(address)
-        asked_s = self.side.authority.read_clock()
+        asked_s = self.side.config_lease.read_clock()
         await asyncio.sleep(wait_s)
         age_s = self.ages.get(address, self.age_s)
         if age_s is None:
             raise statefeed.FeedError("none")
         if age_s + wait_s >= oldest_s:
             raise statefeed.OldStateError("old")
-        self.side.book.take_listing([fakes.entry("a")])
+        self.side.replica.take_listing([fakes.entry("a")])
         value = fakes.table(1, "k")
-        self.side.book.take_configuration(value, asked_s - age_s)
+        self.side.replica.take_configuration(value, asked_s - age_s)
 
     def forget(self):
         pass
@@ -153,11 +153,11 @@
         follower = followers.StoreFollower(
             store,
             fakes.Dialect(),
-            side.book,
-            side.authority,
+            side.replica,
+            side.config_lease,
             client,
             Peers(readers, *peers),
-            followers.Pace(2.0),
+            followers.PollIntervals(2.0),
             side.timers,
             random.Random(1),
             side.eras,
@@ -180,7 +180,7 @@
 def test_others_ask_it_and_make_no_calls():
     async def step(side, store, client):
         await asyncio.sleep(10.0)
-        valid = side.authority.find_valid() is not None
+        valid = side.config_lease.find_valid() is not None
         return store.reads, store.lists, valid, side.usable()
 
     assert run(step, "10.0.0.1:1") == (0, 0, True, ["a"])
@@ -189,7 +189,7 @@
 def test_state_that_is_too_old_is_read_from_the_store():
     async def step(side, store, client):
         await asyncio.sleep(10.0)
-        return store.reads >= 3, side.authority.age_s < 2.0
+        return store.reads >= 3, side.config_lease.age_s < 2.0
 
     assert run(step, "10.0.0.1:1", age_s=3.0) == (True, True)
 
@@ -206,7 +206,7 @@
     async def step(side, store, client):
         client.ages = {"10.0.0.1:1": None, "10.0.0.2:1": None}
         await asyncio.sleep(5.0)
-        valid = side.authority.find_valid() is not None
+        valid = side.config_lease.find_valid() is not None
         return store.reads, valid, client.asked[:4]
 
     readers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
@@ -237,7 +237,7 @@
     async def step(side, store, client):
         store.fails = True
         await asyncio.sleep(30.0)
-        return side.authority.find_valid() is not None, side.usable()
+        return side.config_lease.find_valid() is not None, side.usable()
 
     assert run(step, peers=("10.0.0.2:1", "10.0.0.3:1")) == (True, ["a"])
 
@@ -247,10 +247,10 @@
         await asyncio.sleep(5.0)
         store.fails = True
         await asyncio.sleep(6.0)
-        lost = side.authority.find_valid()
+        lost = side.config_lease.find_valid()
         store.fails = False
         await asyncio.sleep(1.5)
-        return lost, side.authority.find_valid() is not None
+        return lost, side.config_lease.find_valid() is not None
 
     peers = ("10.0.0.2:1",)
     assert run(step, peers=peers, age_s=None) == (None, True)
@@ -294,7 +294,7 @@
         await asyncio.sleep(1.5)
         store.version = 4
         await asyncio.sleep(6.0)
-        return side.authority.version, side.authority.find_valid()
+        return side.config_lease.version, side.config_lease.find_valid()
 
     assert run(step) == (5, None)
 
@@ -440,13 +440,16 @@
         store.version = 3
         store.come_back(1)
         await asyncio.sleep(2.0)
-        seen = [side.authority.version, side.authority.find_valid() is None]
+        seen = [
+            side.config_lease.version,
+            side.config_lease.find_valid() is None,
+        ]
         await asyncio.sleep(4.0)
         # What may have been written since can't be ruled out any more.
-        seen.append(side.authority.find_valid() is None)
+        seen.append(side.config_lease.find_valid() is None)
         store.version = 5
         await asyncio.sleep(2.0)
-        return [*seen, side.authority.find_valid().version]
+        return [*seen, side.config_lease.find_valid().version]
 
     assert run_eras(step) == [5, False, True, 5]
 
@@ -455,10 +458,10 @@
     async def step(side, store):
         store.key = "other"
         await asyncio.sleep(2.0)
-        seen = [list(side.authority.table.keys)]
+        seen = [list(side.config_lease.table.keys)]
         store.come_back(1)
         await asyncio.sleep(2.0)
-        return [*seen, list(side.authority.table.keys)]
+        return [*seen, list(side.config_lease.table.keys)]
 
     # Within an era no version has two contents, so the first one stays.
     assert run_eras(step) == [["k"], ["other"]]
@@ -496,7 +499,7 @@
         store.come_back(1, ("a", "c"))
         store.fails = False
         await asyncio.sleep(5.0)
-        return side.usable(), side.authority.find_valid() is not None
+        return side.usable(), side.config_lease.find_valid() is not None
 
     assert run_eras(step) == (["a", "c"], True)
 
--- a/rhubarblock/exchange/state/history_test.py
+++ b/rhubarblock/exchange/state/history_test.py
@@ -32,14 +32,14 @@
 
     def read(self, number):
         value = fakes.table(self.version, *sorted(self.keys))
-        self.readers[number].book.take_configuration(value, 100.0)
+        self.readers[number].replica.take_configuration(value, 100.0)
 
     def restart(self, number):
         self.readers[number] = self.make_side(f"again{number}")
 
     def ask(self, number, is_whole=False):
-        known = documents.NOTHING if is_whole else self.asker.book.identity
-        found = self.readers[number].book.find_difference(known)
+        known = documents.NOTHING if is_whole else self.asker.replica.identity
+        found = self.readers[number].replica.find_difference(known)
         self.answers.append(differencewire.encode(found))
 
     def take(self, position):
@@ -47,14 +47,16 @@
         if not self.answers:
             return
         text = self.answers[position % len(self.answers)]
-        before = self.asker.authority.version
+        before = self.asker.config_lease.version
         try:
-            self.asker.book.take_difference(differencewire.decode(text), 100.0)
+            self.asker.replica.take_difference(
+                differencewire.decode(text), 100.0
+            )
         except documents.DifferenceError:
-            assert self.asker.authority.version == before
-        assert self.asker.authority.version >= before
-        held = self.asker.book.identity.version
-        assert held == self.asker.authority.version
+            assert self.asker.config_lease.version == before
+        assert self.asker.config_lease.version >= before
+        held = self.asker.replica.identity.version
+        assert held == self.asker.config_lease.version
 
     def finish(self):
         """The newest state arrives, whole if the changes don't fit."""
@@ -83,12 +85,12 @@
     for name, argument in steps:
         getattr(story, name)(argument)
     story.finish()
-    held = story.asker.book.find_difference(documents.NOTHING)
-    read = story.readers[1].book.find_difference(documents.NOTHING)
+    held = story.asker.replica.find_difference(documents.NOTHING)
+    read = story.readers[1].replica.find_difference(documents.NOTHING)
     assert documents.apply(documents.EMPTY, held) == documents.apply(
         documents.EMPTY, read
     )
-    assert set(story.asker.authority.table.keys) == story.keys
+    assert set(story.asker.config_lease.table.keys) == story.keys
 
 
 def test_changes_since_a_known_version_are_joined():
@@ -99,7 +101,9 @@
     for key in ("k1", "k2", "k0"):
         story.write(key)
         story.read(0)
-    change = story.readers[0].book.find_difference(story.asker.book.identity)
+    change = story.readers[0].replica.find_difference(
+        story.asker.replica.identity
+    )
     assert change.changed == {"k1": "", "k2": ""}
     assert change.removed == ("k0",)
     assert (change.before.version, change.after.version) == (1, 7)
@@ -108,11 +112,11 @@
 def test_whole_is_passed_on_to_one_that_is_too_far_behind():
     story = Story()
     story.read(0)
-    first = story.readers[0].book.identity
+    first = story.readers[0].replica.identity
     for _ in range(histories.KEPT_CHANGES + 1):
         story.write("k1")
         story.read(0)
-    change = story.readers[0].book.find_difference(first)
+    change = story.readers[0].replica.find_difference(first)
     assert change.before == documents.NOTHING
     assert change.changed == {"k0": "", "k1": ""}
 
@@ -121,19 +125,19 @@
     story = Story()
     story.read(0)
     other = documents.Identity(story.version, 12345)
-    change = story.readers[0].book.find_difference(other)
+    change = story.readers[0].replica.find_difference(other)
     assert change.before == documents.NOTHING
 
 
 def test_what_the_store_gave_before_confirms_no_newer_version():
     story = Story()
     old = fakes.table(1, "k0")
-    story.asker.book.take_configuration(old, 100.0)
+    story.asker.replica.take_configuration(old, 100.0)
     story.write("k1")
     story.read(0)
     story.ask(0)
     story.take(0)
-    story.asker.book.take_configuration(old, 104.0)
+    story.asker.replica.take_configuration(old, 104.0)
     story.clock.now_s = 105.0
-    assert story.asker.authority.version == 3
-    assert story.asker.authority.age_s == 5.0
+    assert story.asker.config_lease.version == 3
+    assert story.asker.config_lease.age_s == 5.0
--- a/rhubarblock/exchange/state/book.py
+++ b/rhubarblock/exchange/state/replica.py
@@ -16,8 +16,8 @@
 from rhubarblock.core import listed as lists
 from rhubarblock.core import position as positions
 from rhubarblock.exchange import dialect as dialects
-from rhubarblock.exchange.state import authority as authorities
 from rhubarblock.exchange.state import changelog
+from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import history
 from rhubarblock.exchange.state import removals
@@ -42,7 +42,7 @@
     objects: tuple[stores.StoredObject, ...]
 
 
-class StateBook:
+class StateReplica:
     """The latest state, and the parts that it is put into force in.
 
     Attributes:
@@ -53,7 +53,7 @@
     """
 
     __slots__ = (
-        "_authority",
+        "_config_lease",
         "_changed",
         "_dialect",
         "_directory",
@@ -75,7 +75,7 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        authority: authorities.Authority,
+        config_lease: config_leases.ConfigurationLease,
         directory: directories.Directory,
         timers: timer_service.Timers,
     ):
@@ -83,12 +83,12 @@
 
         Args:
           dialect: decodes what the store holds.
-          authority: takes configurations.
+          config_lease: takes configurations.
           directory: takes endpoints.
           timers: callbacks.
         """
         self._dialect = dialect
-        self._authority = authority
+        self._config_lease = config_lease
         self._directory = directory
         self._timers = timers
         # What the store gave last, to see at one look that it gives the same.
@@ -144,7 +144,7 @@
           ValueError: it can't be read.
         """
         if value == self._value:
-            self._authority.confirm(self._authority.version, asked_s)
+            self._config_lease.confirm(self._config_lease.version, asked_s)
             return
         text = self._dialect.split_configuration(value)
         difference = documents.compare(
@@ -202,17 +202,17 @@
         """
         found = difference.after
         version = found.version
-        before = self._authority.version
+        before = self._config_lease.version
         is_other = version == before and found != self.identity
         if version < before or (is_other and era <= self._era_in_force):
             self._note_refused(found, era)
             return False
         document = documents.apply(self._document, difference)
         table = self._dialect.change_table(
-            self._authority.table, document, difference
+            self._config_lease.table, document, difference
         )
         self._era_in_force = era
-        if not self._authority.install(table, asked_s, replaces=is_other):
+        if not self._config_lease.install(table, asked_s, replaces=is_other):
             return True
         self._document = document
         # What the store gave before confirms an older version only.
@@ -239,7 +239,7 @@
             "an older configuration was read",
             extra={
                 "version": found.version,
-                "in_force": self._authority.version,
+                "in_force": self._config_lease.version,
                 "era": era,
             },
         )
--- a/rhubarblock/exchange/state/subset.py
+++ b/rhubarblock/exchange/state/subset.py
@@ -19,7 +19,7 @@
 
 # Engines of a pool that an instance uses: those of a data centre with 39, and a
 # few of others for when these are full or lost. More would be told of more.
-ENGINES_EACH = 48
+SUBSET_SIZE = 48
 
 # Says whether an instance, by its name and its data centre, is meant.
 InstanceFilter = Callable[[str, str], bool]
@@ -33,16 +33,16 @@
     def __init__(
         self,
         directory: directories.Directory,
-        engines_each: int = ENGINES_EACH,
+        subset_size: int = SUBSET_SIZE,
     ):
         """Creates subsets over what is listed.
 
         Args:
           directory: tells the size of each pool in each data centre.
-          engines_each: engines of a pool that an instance uses on average.
+          subset_size: engines of a pool that an instance uses on average.
         """
         self._directory = directory
-        self._engines_each = engines_each
+        self._engines_each = subset_size
 
     def uses(
         self, instance_id: str, data_centre: str, endpoint_id: str
--- a/rhubarblock/exchange/state/subset_test.py
+++ b/rhubarblock/exchange/state/subset_test.py
@@ -6,7 +6,7 @@
 from rhubarblock.kernel import timers as timer_service
 
 
-def make_subsets(count, engines_each, centres=("osu",)):
+def make_subsets(count, subset_size, centres=("osu",)):
     directory = directories.Directory(timer_service.LoopTimers())
     engines = [
         lists.ListedEndpoint(
@@ -21,7 +21,7 @@
     ]
     for engine in engines:
         directory.update(engine)
-    return subsets.Subsets(directory, engines_each), engines
+    return subsets.Subsets(directory, subset_size), engines
 
 
 def test_small_pool_is_used_whole():
--- a/rhubarblock/exchange/statements.py
+++ b/rhubarblock/exchange/statements.py
@@ -23,7 +23,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class StatementTaker:
+class StatementHandler:
     """Hands what endpoints say to what decides by it."""
 
     __slots__ = (
--- a/rhubarblock/exchange/transport.py
+++ b/rhubarblock/exchange/transport.py
@@ -147,7 +147,7 @@
         self._response = response
         self.status = response.status
         self.fields = dialect.read_answer(response.status, response.headers)
-        self.headers = dialect.pass_back(
+        self.headers = dialect.filter_response_headers(
             response.headers.items(), response.headers.get("Connection", "")
         )
 
@@ -212,7 +212,7 @@
         self,
         exchange: exchanges.Exchange,
         address: str,
-        order: dialects.SendOrder,
+        order: dialects.SendOptions,
     ) -> AsyncIterator[Answer]:
         """Sends an exchange once and owns the answer.
 
--- a/rhubarblock/exchange/transport_test.py
+++ b/rhubarblock/exchange/transport_test.py
@@ -11,7 +11,7 @@
 from rhubarblock.exchange import transport as transports
 from rhubarblock.platform import names
 
-ORDER = dialects.SendOrder("e1", 1.0)
+ORDER = dialects.SendOptions("e1", 1.0)
 
 
 async def read_all(answer):
--- a/rhubarblock/experiments/endpointlimits/fleet.py
+++ b/rhubarblock/experiments/endpointlimits/fleet.py
@@ -55,13 +55,13 @@
         return limitpeers.OWN if best == self._name else best
 
     def send_request(self, peer: str, request: messages.PermitRequest) -> None:
-        self._send(peer, lambda to: to.hear_request(self._name, request))
+        self._send(peer, lambda to: to.receive_request(self._name, request))
 
     def send_grant(self, peer: str, grant: messages.PermitGrant) -> None:
-        self._send(peer, lambda to: to.hear_grant(self._name, grant))
+        self._send(peer, lambda to: to.receive_grant(self._name, grant))
 
     def send_report(self, peer: str, report: messages.LimitReport) -> None:
-        self._send(peer, lambda to: to.hear_report(report))
+        self._send(peer, lambda to: to.receive_report(report))
 
     def tell_report(self, report: messages.LimitReport) -> None:
         for peer in self._fleet.limits:
--- a/rhubarblock/experiments/endpointlimits/fleet_test.py
+++ b/rhubarblock/experiments/endpointlimits/fleet_test.py
@@ -164,7 +164,7 @@
         fleet.dead.add("i2")
         await fleet.load(["i0", "i1"], 20.0, 3.0)
         fleet.dead.clear()
-        fleet.limits["i0"].tell_start("i2")
+        fleet.limits["i0"].send_limits("i2")
         await asyncio.sleep(1.0)
         return fleet.limits["i2"].find_rate(ENDPOINT_ID)
 
--- a/rhubarblock/experiments/endpointrests/fleet.py
+++ b/rhubarblock/experiments/endpointrests/fleet.py
@@ -7,7 +7,7 @@
 import random
 
 from rhubarblock.core import listed as lists
-from rhubarblock.exchange import callbook
+from rhubarblock.exchange import callbalancer
 from rhubarblock.exchange import candidates
 from rhubarblock.exchange import relay
 from rhubarblock.exchange.state import directory as directories
@@ -84,7 +84,9 @@
         self._data_centre = data_centre
         self._rng = random.Random(f"{fleet.seed} {name}")
         self._health = healths.Health(data_centre)
-        self._calls = callbook.CallBook(self._health, data_centre, self._timers)
+        self._calls = callbalancer.CallBalancer(
+            self._health, data_centre, self._timers
+        )
         self._notice = ways.make_notice(
             fleet.way, random.Random(f"{fleet.seed} {name} hints")
         )
--- a/rhubarblock/experiments/platform/mix.py
+++ b/rhubarblock/experiments/platform/mix.py
@@ -83,7 +83,7 @@
     model: routes.EngineCostModel
     cross_s: float
     link_bps: float = 1e9
-    engines_each: int = subsets.ENGINES_EACH
+    engines_each: int = subsets.SUBSET_SIZE
 
 
 # Factors of the three kinds in turns, and the seconds of a turn: the waves of a
--- a/rhubarblock/experiments/storereturn/fleet.py
+++ b/rhubarblock/experiments/storereturn/fleet.py
@@ -9,8 +9,8 @@
 
 from rhubarblock.daemon import listing
 from rhubarblock.daemon import peersearch
-from rhubarblock.exchange.peering import news as news_lib
 from rhubarblock.exchange.peering import table as peer_table
+from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.experiments.storereturn import backstore
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
@@ -33,13 +33,13 @@
 PORT = 7_000
 
 
-class _SilentNews(news_lib.News):
+class _SilentNews(peer_updates.PeerUpdates):
     """Greets nobody: datagrams are no calls of the store."""
 
     def __init__(self) -> None:
         """Creates news that need nothing."""
 
-    async def greet(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Sends nothing."""
 
 
--- a/rhubarblock/platform/dialect.py
+++ b/rhubarblock/platform/dialect.py
@@ -30,18 +30,18 @@
     def read_caller(self, fields: Mapping[str, str]) -> dialects.CallerFields:
         return headercodec.read_caller(fields)
 
-    def pass_on(
+    def filter_request_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        return headercodec.pass_on(fields, connection)
+        return headercodec.filter_request_headers(fields, connection)
 
-    def pass_back(
+    def filter_response_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        return headercodec.pass_back(fields, connection)
+        return headercodec.filter_response_headers(fields, connection)
 
     def address(
-        self, exchange: exchanges.Exchange, order: dialects.SendOrder
+        self, exchange: exchanges.Exchange, order: dialects.SendOptions
     ) -> list[tuple[str, str]]:
         return headercodec.address(exchange, order)
 
--- a/rhubarblock/platform/headercodec.py
+++ b/rhubarblock/platform/headercodec.py
@@ -74,7 +74,7 @@
     )
 
 
-def pass_on(
+def filter_request_headers(
     fields: Iterable[tuple[str, str]], connection: str
 ) -> tuple[exchanges.Header, ...]:
     """Returns a caller's fields that go to the endpoint unchanged.
@@ -87,7 +87,7 @@
     return _keep(fields, _HOP_BY_HOP | _OWN | _split_names(connection))
 
 
-def pass_back(
+def filter_response_headers(
     fields: Iterable[tuple[str, str]], connection: str
 ) -> tuple[exchanges.Header, ...]:
     """Returns an endpoint's fields that go to the caller unchanged."""
@@ -95,7 +95,7 @@
 
 
 def address(
-    exchange: exchanges.Exchange, order: dialects.SendOrder
+    exchange: exchanges.Exchange, order: dialects.SendOptions
 ) -> list[tuple[str, str]]:
     """Returns the head with which an exchange goes to an endpoint."""
     fields = [(header.name, header.value) for header in exchange.headers]
--- a/rhubarblock/platform/headercodec_test.py
+++ b/rhubarblock/platform/headercodec_test.py
@@ -48,7 +48,7 @@
         ("X-Rhubarblock-Model", "m"),
         ("Transfer-Encoding", "chunked"),
     ]
-    assert headercodec.pass_on(sent, "close, X-Hop") == (
+    assert headercodec.filter_request_headers(sent, "close, X-Hop") == (
         exchanges.Header("Accept", "x"),
         exchanges.Header("X-Rhubarblock-Model", "m"),
     )
@@ -61,13 +61,13 @@
         ("Connection", "close"),
         ("Content-Length", "3"),
     ]
-    assert headercodec.pass_back(sent, "close") == (
+    assert headercodec.filter_response_headers(sent, "close") == (
         exchanges.Header("X-Rhubarblock-Server-Seal", "s"),
     )
 
 
 def test_order_is_spelled_out():
-    order = dialects.SendOrder(
+    order = dialects.SendOptions(
         "e1",
         0.75,
         urgency=3,
--- a/rhubarblock/platform/leaseclient.py
+++ b/rhubarblock/platform/leaseclient.py
@@ -27,7 +27,7 @@
         self._session = session
 
     async def reserve(
-        self, endpoint: listed.ListedEndpoint, order: dialects.LeaseOrder
+        self, endpoint: listed.ListedEndpoint, order: dialects.LeaseRequest
     ) -> dialects.LeaseReply:
         return await self._send(
             endpoint,
