--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -9,7 +9,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.experiments.platform import mix as mixes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
 
@@ -29,20 +29,20 @@
 
 def fill_book(
     engines: list[lists.ListedEndpoint], rng: random.Random
-) -> enginebook.EngineBook:
+) -> jobtracker.JobTracker:
     """Returns a book in which half of the engines write and a fifth reads."""
-    book = enginebook.EngineBook()
+    book = jobtracker.JobTracker()
     for number, engine in enumerate(engines):
         for writer in range(rng.choice((0, 0, 1, 2, 4))):
-            part = enginebook.Part(engine.endpoint_id, 0.0, 5_000)
-            job = enginebook.Job(
+            part = jobtracker.Part(engine.endpoint_id, 0.0, 5_000)
+            job = jobtracker.Job(
                 f"w{number}.{writer}", (part,), 0.25, 5_000, 0.3
             )
             book.add(job, 0.0)
     for number in range(len(engines) // 40):
         chosen = rng.sample(engines, min(len(engines), 8))
-        parts = tuple(enginebook.Part(e.endpoint_id, 0.4) for e in chosen)
-        book.add(enginebook.Job(f"g{number}", parts, 1.0, 250_000, 4.0), 0.0)
+        parts = tuple(jobtracker.Part(e.endpoint_id, 0.4) for e in chosen)
+        book.add(jobtracker.Job(f"g{number}", parts, 1.0, 250_000, 4.0), 0.0)
     return book
 
 
--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -41,9 +41,9 @@
 from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
+from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
-from rhubarblock.routing import rests
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.settings import exchange as settings_lib
 from rhubarblock.store import era as era_lib
 from rhubarblock.store import store as stores
@@ -110,9 +110,9 @@
             self.timers,
             settings.capacity,
         )
-        self.book = enginebook.EngineBook()
+        self.book = jobtracker.JobTracker()
         self.health = healths.Health(settings.data_centre)
-        self.rests = rests.Rests(self.metrics)
+        self.rests = cooldowns.Cooldowns(self.metrics)
         self.eras = era_lib.EraTracker(self.metrics)
         self._dialect = dialect
         self._make_store = make_store
--- a/rhubarblock/daemon/holders.py
+++ b/rhubarblock/daemon/holders.py
@@ -52,7 +52,7 @@
             return None
         return chosen.address
 
-    def find_desk(self, duty: str) -> quarantines.Peer | None:
+    def find_issuer(self, duty: str) -> quarantines.Peer | None:
         """Returns the instance that gives permits to suspects."""
         chosen = self.choose(duty)
         return quarantines.Peer(chosen.instance_id, chosen.address)
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -236,7 +236,7 @@
             self.identity.instance_id,
             port.transport,
             self.holders.list_peers,
-            self.holders.find_desk,
+            self.holders.find_issuer,
             self._rng,
         )
         around = promptparts.Surroundings(
@@ -249,7 +249,7 @@
             find_coordinator=self.holders.find_coordinator,
             count_instances=self.holders.count_instances,
             weigh=self.weigh,
-            list_kept=self.quarantine.list_kept,
+            list_reserved=self.quarantine.list_reserved,
         )
         bounds = self.settings.limits
         self.guard = guards.Guard(
--- a/rhubarblock/daemon/promptparts.py
+++ b/rhubarblock/daemon/promptparts.py
@@ -75,8 +75,8 @@
       find_coordinator: gives the coordinator of an engine service.
       count_instances: gives the number of live instances.
       weigh: gives the weight of a request's flow.
-      list_kept: gives, of the engines of a service, those that only suspects
-        may use at present.
+      list_reserved: gives, of the engines of a service, those that only
+        suspects may use at present.
     """
 
     timers: timer_service.Timers
@@ -88,7 +88,7 @@
     find_coordinator: Callable[[str], coordination.Coordinator]
     count_instances: Callable[[], int]
     weigh: Callable[[requests.PromptRequest], float]
-    list_kept: Callable[[str, Iterable[str]], frozenset[str]]
+    list_reserved: Callable[[str, Iterable[str]], frozenset[str]]
 
 
 class PromptParts:
@@ -139,7 +139,7 @@
         self._around = around
         self.table = loadtable.LoadTable()
         self.ledger = ledgers.Ledger(
-            self.table, around.policy, around.timers, around.list_kept
+            self.table, around.policy, around.timers, around.list_reserved
         )
         self.placement = coordination.PlacementClient(
             identity.instance_id,
@@ -161,7 +161,7 @@
         around = self._around
         predictor = predictors.Predictor()
         self.admission = admissions.Admission(
-            predictor, is_open=not around.policy.uses_lengths
+            predictor, admits_all=not around.policy.uses_lengths
         )
         runner = runners.AttemptRunner(
             around.client,
--- a/rhubarblock/exchange/callbalancer.py
+++ b/rhubarblock/exchange/callbalancer.py
@@ -81,7 +81,9 @@
         calls = self._calls.get(endpoint.endpoint_id, 0)
         if self._is_full(endpoint.endpoint_id):
             calls = max(calls, endpoint.slots)
-        errors = endpoint.slots * self._health.share_of(endpoint.endpoint_id)
+        errors = endpoint.slots * self._health.find_error_rate(
+            endpoint.endpoint_id
+        )
         is_far = endpoint.data_centre != self._data_centre
         return calls + errors + FAR_CALLS * is_far
 
--- a/rhubarblock/exchange/candidates.py
+++ b/rhubarblock/exchange/candidates.py
@@ -14,8 +14,8 @@
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
 from rhubarblock.kernel import timers as timer_service
+from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
-from rhubarblock.routing import rests
 
 # Seconds over which callers come back that were refused because of a rest: only
 # one of them tries the endpoint at first.
@@ -72,7 +72,7 @@
         health: healths.Health,
         subsets_: subsets.Subsets,
         limits: endpointlimits.EndpointLimits,
-        rests_: rests.Rests,
+        rests_: cooldowns.Cooldowns,
         instance_id: str,
         data_centre: str,
         timers: timer_service.Timers,
@@ -129,7 +129,7 @@
         proven = [
             endpoint
             for endpoint in sound
-            if not self._health.is_on_trial(endpoint.endpoint_id)
+            if not self._health.is_tripped(endpoint.endpoint_id)
         ]
         return proven or sound or usable
 
@@ -187,7 +187,7 @@
         """Returns the seconds until the first rest ends, None without one."""
         now_s = self._timers.read_monotonic()
         left = [
-            self._rests.find_left(endpoint.endpoint_id, now_s)
+            self._rests.find_remaining(endpoint.endpoint_id, now_s)
             for endpoint in self._list_unavoided(exchange, avoid)
         ]
         return min((left_s for left_s in left if left_s > 0.0), default=None)
@@ -196,7 +196,7 @@
         self, endpoint: lists.ListedEndpoint, now_s: float
     ) -> bool:
         """Says whether others go first, if there are any."""
-        if self._rests.is_tried(endpoint.endpoint_id, now_s):
+        if self._rests.is_probed(endpoint.endpoint_id, now_s):
             return True
         return self._health.is_suspect(
             endpoint.endpoint_id, endpoint.data_centre, now_s
@@ -233,7 +233,7 @@
         return [
             endpoint
             for endpoint in used
-            if not self._rests.is_resting(endpoint.endpoint_id, now_s)
+            if not self._rests.is_cooling_down(endpoint.endpoint_id, now_s)
         ]
 
     def _list_unavoided(
--- a/rhubarblock/exchange/candidates_test.py
+++ b/rhubarblock/exchange/candidates_test.py
@@ -12,8 +12,8 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
+from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
-from rhubarblock.routing import rests
 
 
 class Side:
@@ -22,7 +22,7 @@
         self.directory = directories.Directory(timers)
         self.health = healths.Health("osu-hall")
         self.limits = fakes.make_limits(timers)
-        self.rests = rests.Rests(metric_store.Metrics())
+        self.rests = cooldowns.Cooldowns(metric_store.Metrics())
         self.candidates = candidates.Candidates(
             self.directory,
             self.health,
@@ -73,7 +73,7 @@
 def test_endpoint_that_failed_comes_back_with_short_work():
     async def step(side):
         now_s = asyncio.get_running_loop().time()
-        side.health.note_broken("e1", "osu-hall", now_s)
+        side.health.note_unreachable("e1", "osu-hall", now_s)
         seen = [side.list_for()]
         await asyncio.sleep(healths.FIRST_S)
         seen.append(side.list_for(candidates.TRIAL_TOKENS))
@@ -87,7 +87,7 @@
     async def step(side):
         now_s = asyncio.get_running_loop().time()
         for name in ("e0", "e1"):
-            side.health.note_broken(name, "osu-hall", now_s)
+            side.health.note_unreachable(name, "osu-hall", now_s)
         return side.list_for(), side.list_for(avoid=["e1"])
 
     assert run(step, 2) == (["e0", "e1"], ["e0"])
@@ -103,8 +103,8 @@
         now_s = asyncio.get_running_loop().time()
         seen = [side.list_for(), side.list_for(candidates.TRIAL_TOKENS + 1)]
         # Not even if all others failed.
-        side.health.note_broken("e0", "osu-hall", now_s)
-        side.health.note_broken("e2", "osu-hall", now_s)
+        side.health.note_unreachable("e0", "osu-hall", now_s)
+        side.health.note_unreachable("e2", "osu-hall", now_s)
         seen.append(side.list_for())
         seen.append(side.list_for(avoid=["e0", "e2"]))
         return seen
@@ -121,7 +121,7 @@
         seen.append(side.list_for())
         # It is used where nothing else is left.
         seen.append(side.list_for(avoid=["e0", "e2"]))
-        side.rests.note_taken("e1")
+        side.rests.note_accepted("e1")
         seen.append(side.list_for())
         return seen
 
--- a/rhubarblock/exchange/crashes.py
+++ b/rhubarblock/exchange/crashes.py
@@ -18,7 +18,7 @@
 from rhubarblock.core import listed as lists
 from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.kernel import timers as timer_service
-from rhubarblock.routing.quarantine import book as quarantinebook
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 
 # Seconds that the trial of an endpoint may take.
 TRIAL_S = 0.3
@@ -70,7 +70,7 @@
           timers: the clock; times stay within this instance.
           trial: says whether nobody listens at an address.
         """
-        self._book = quarantinebook.QuarantineBook()
+        self._book = quarantineregistry.QuarantineRegistry()
         self._updates = updates
         self._timers = timers
         self._has_crashed = trial
@@ -97,16 +97,16 @@
     def is_quarantined(self, exchange: exchanges.Exchange) -> bool:
         """Says whether an exchange may not run at present."""
         now_s = self._timers.read_monotonic()
-        digest = quarantinebook.shorten(exchange.digest)
+        digest = quarantineregistry.shorten(exchange.digest)
         decision = self._book.decide(digest, now_s)
-        return decision is quarantinebook.Decision.REFUSE
+        return decision is quarantineregistry.Decision.REFUSE
 
     @contextlib.contextmanager
     def note_running(
         self, exchange: exchanges.Exchange, endpoint: lists.ListedEndpoint
     ) -> Iterator[None]:
         """Keeps in mind what runs at an endpoint while the context is open."""
-        digest = quarantinebook.shorten(exchange.digest)
+        digest = quarantineregistry.shorten(exchange.digest)
         there = self._running.setdefault(endpoint.endpoint_id, {})
         there[digest] = self._timers.read_monotonic()
         try:
@@ -119,8 +119,8 @@
     def note_served(self, exchange: exchanges.Exchange) -> None:
         """Takes in that an exchange ended well, which clears it."""
         now_s = self._timers.read_monotonic()
-        digest = quarantinebook.shorten(exchange.digest)
-        allowed = quarantinebook.Decision.ALLOW
+        digest = quarantineregistry.shorten(exchange.digest)
+        allowed = quarantineregistry.Decision.ALLOW
         if self._book.decide(digest, now_s) is not allowed:
             self._book.clear(digest, now_s)
 
@@ -141,7 +141,7 @@
     ) -> None:
         if not await self._has_crashed(endpoint.address):
             return
-        young = [d for d, s in ages.items() if s <= quarantinebook.YOUNG_S]
+        young = [d for d, s in ages.items() if s <= quarantineregistry.YOUNG_S]
         _logger.warning(
             "endpoint crashed",
             extra={"endpoint": endpoint.endpoint_id, "under": sorted(young)},
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -14,9 +14,9 @@
 from rhubarblock.core import ratelimit as ratelimits
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
-from rhubarblock.routing.endpointlimits import book as limitbook
 from rhubarblock.routing.endpointlimits import coordinator as coordinators
 from rhubarblock.routing.endpointlimits import holding
+from rhubarblock.routing.endpointlimits import limittable as limittables
 from rhubarblock.routing.endpointlimits import messages
 from rhubarblock.routing.endpointlimits import peers as limitpeers
 from rhubarblock.routing.endpointlimits import requester as requesters
@@ -83,7 +83,7 @@
         self._rng = rng
         self._timers = timers
         self._metrics = metrics
-        self._book = limitbook.LimitBook(metrics)
+        self._book = limittables.LimitTable(metrics)
         self._held = holding.HeldPermits()
         self._coordinator = coordinators.PermitCoordinator(
             self._book, peers, rng, metrics
@@ -174,7 +174,9 @@
         ]
         if left_out:
             self._metrics.count("limits.left_out")
-            self._requester.want(min(left_out)[-1], request_id, within_s)
+            self._requester.request_permit(
+                min(left_out)[-1], request_id, within_s
+            )
 
     def select_due(
         self, endpoints: list[lists.ListedEndpoint]
@@ -230,7 +232,7 @@
     def receive_report(self, report: messages.LimitReport) -> None:
         """Takes in what a peer tells of an endpoint."""
         now_s = self._timers.read_monotonic()
-        if self._book.hear(report, now_s):
+        if self._book.receive(report, now_s):
             self._take_change(report.endpoint_id)
 
     def receive_request(
@@ -249,7 +251,7 @@
 
     def receive_grant(self, peer: str, grant: messages.PermitGrant) -> None:
         """Takes in permits of a peer."""
-        self._requester.hear(peer, grant)
+        self._requester.receive(peer, grant)
 
     def send_limits(self, peer: str) -> None:
         """Tells a peer that has just started of all limits."""
@@ -283,7 +285,7 @@
         now_s = self._timers.read_monotonic()
         report = self._book.describe(endpoint_id, now_s)
         if report is not None:
-            self._peers.tell_report(report)
+            self._peers.broadcast_report(report)
 
     def _take_change(self, endpoint_id: str) -> None:
         """Begins to share a limit that is new, or drops one that ended."""
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -34,10 +34,10 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.platform import dialect as platform_dialect
 from rhubarblock.platform import names
+from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
-from rhubarblock.routing import rests
 from rhubarblock.routing.endpointlimits import peers as limitpeers
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.settings import exchange as settings_lib
 
 ATTEMPT = names.ATTEMPT_ID
@@ -196,7 +196,7 @@
         return 1
 
     def choose_coordinator(self, endpoint_id, silent):
-        return limitpeers.OWN
+        return limitpeers.SELF
 
     def send_request(self, peer, request):
         raise AssertionError
@@ -207,7 +207,7 @@
     def send_report(self, peer, report):
         raise AssertionError
 
-    def tell_report(self, report):
+    def broadcast_report(self, report):
         pass
 
 
@@ -216,7 +216,7 @@
     return statements.StatementHandler(
         directories.Directory(timers),
         limits,
-        rests.Rests(metrics),
+        cooldowns.Cooldowns(metrics),
         timers,
         metrics,
     )
@@ -262,7 +262,7 @@
         self.timers = timer_service.LoopTimers()
         self.dialect = platform_dialect.PlatformDialect()
         self.directory = directories.Directory(self.timers)
-        self.book = enginebook.EngineBook()
+        self.book = jobtracker.JobTracker()
         self.health = healths.Health("osu-hall")
         self.metrics = metric_store.Metrics()
         self.lifecycle = lifecycles.InstanceLifecycle()
@@ -290,7 +290,7 @@
             self.timers,
             self.metrics,
         )
-        self.rests = rests.Rests(self.metrics)
+        self.rests = cooldowns.Cooldowns(self.metrics)
         self.placer = placers.Placer(
             self.directory,
             self.book,
--- a/rhubarblock/exchange/outcomes.py
+++ b/rhubarblock/exchange/outcomes.py
@@ -184,7 +184,7 @@
     def suspect(self, endpoint: lists.ListedEndpoint) -> None:
         """Leaves an endpoint alone and tells peers that use the same way."""
         now_s = self._timers.read_monotonic()
-        is_news = self._health.note_broken(
+        is_news = self._health.note_unreachable(
             endpoint.endpoint_id, endpoint.data_centre, now_s
         )
         if is_news:
--- a/rhubarblock/exchange/peering/limitupdates.py
+++ b/rhubarblock/exchange/peering/limitupdates.py
@@ -91,7 +91,7 @@
             grant.count,
             _to_ms(grant.delay_s),
             _to_ms(grant.spacing_s),
-            _to_ms(grant.again_s),
+            _to_ms(grant.retry_after_s),
         ]
         self._updates.send_to(_parse(peer), fields)
 
@@ -99,7 +99,7 @@
         fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
         self._updates.send_to(_parse(peer), fields)
 
-    def tell_report(self, report: messages.LimitReport) -> None:
+    def broadcast_report(self, report: messages.LimitReport) -> None:
         fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
         for address, _ in self._list_users(report.endpoint_id):
             self._updates.send_to(address, fields)
--- a/rhubarblock/exchange/peering/updates.py
+++ b/rhubarblock/exchange/peering/updates.py
@@ -20,7 +20,7 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 
 # Seconds after which a crash is told once more; told twice within two seconds
 # it counts once.
@@ -64,7 +64,7 @@
         own_id: str,
         start_id: str,
         data_centre: str,
-        book: enginebook.EngineBook,
+        book: jobtracker.JobTracker,
         health: healths.Health,
         subsets_: subsets.Subsets,
         peers: peer_table.PeerTable,
@@ -98,7 +98,7 @@
             [capacity.link_mbps, capacity.cores],
         ]
         # Jobs of this instance that have not ended, and when they were placed.
-        self._own_jobs: dict[str, tuple[enginebook.Job, float]] = {}
+        self._own_jobs: dict[str, tuple[jobtracker.Job, float]] = {}
         self._book = book
         self._health = health
         self._subsets = subsets_
@@ -154,14 +154,14 @@
             lambda address, peer: address in group or not peer.instance_id,
         )
 
-    def announce_placed(self, job: enginebook.Job) -> None:
+    def announce_placed(self, job: jobtracker.Job) -> None:
         """Tells peers that use its engines of a job that was placed."""
         now_s = self._timers.read_monotonic()
         self._own_jobs[job.job_id] = (job, now_s)
-        fields = _describe_job(job, job.parts[0].read_s)
+        fields = _describe_job(job, job.parts[0].prefill_s)
         self._send(fields, self._make_filter(job))
 
-    def announce_ended(self, job: enginebook.Job) -> None:
+    def announce_ended(self, job: jobtracker.Job) -> None:
         """Tells the same peers that the job ended."""
         self._own_jobs.pop(job.job_id, None)
         self._send([_ENDED, job.job_id], self._make_filter(job))
@@ -227,10 +227,10 @@
             _, job_id, ids, read_us, tokens, pause_ms, length, due_ms = fields
             held = tokens + [0] * (len(ids) - len(tokens))
             parts = tuple(
-                enginebook.Part(name, read_us / 1e6, n)
+                jobtracker.Part(name, read_us / 1e6, n)
                 for name, n in zip(ids, held, strict=True)
             )
-            job = enginebook.Job(
+            job = jobtracker.Job(
                 job_id, parts, pause_ms / 1e3, length, due_ms / 1e3
             )
             self._book.add(job, now_s)
@@ -239,7 +239,7 @@
         elif fields[0] == _CRASH:
             self.on_crash(fields[1], fields[2])
         elif fields[0] == _BROKEN and fields[1] == self._data_centre:
-            self._health.note_broken(fields[2], fields[3], now_s)
+            self._health.note_unreachable(fields[2], fields[3], now_s)
 
     def _take_greeting(
         self,
@@ -259,7 +259,7 @@
         # It may have given no state because it was not up.
         peer.distrusted_until_s = 0.0
         for job, placed_s in self._own_jobs.values():
-            left_s = max(0.0, job.parts[0].read_s - (now_s - placed_s))
+            left_s = max(0.0, job.parts[0].prefill_s - (now_s - placed_s))
             self._send_to([address], _describe_job(job, left_s))
         self.on_start(address)
 
@@ -270,7 +270,7 @@
         del address
         return peer.data_centre in ("", self._data_centre)
 
-    def _make_filter(self, job: enginebook.Job) -> peer_table.Filter:
+    def _make_filter(self, job: jobtracker.Job) -> peer_table.Filter:
         """Returns what says whether a peer uses an engine of a job.
 
         One that is unknown may.
@@ -304,13 +304,13 @@
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def _describe_job(job: enginebook.Job, read_s: float) -> list[Any]:
+def _describe_job(job: jobtracker.Job, prefill_s: float) -> list[Any]:
     """Returns what is told of a job, with the reading that is left of it."""
     ids = [part.endpoint_id for part in job.parts]
     tokens = [part.tokens for part in job.parts]
     while tokens[-1:] == [0]:
         tokens.pop()
-    read_us = round(read_s * 1e6)
+    read_us = round(prefill_s * 1e6)
     return [
         _PLACED,
         job.job_id,
--- a/rhubarblock/exchange/peering/updates_test.py
+++ b/rhubarblock/exchange/peering/updates_test.py
@@ -8,15 +8,15 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 
-JOB = enginebook.Job(
+JOB = jobtracker.Job(
     "i1.s1.1",
     (
-        enginebook.Part("a", 0.25, 5_000),
-        enginebook.Part("b", 0.25),
-        enginebook.Part("c", 0.25, 700),
-        enginebook.Part("d", 0.25),
+        jobtracker.Part("a", 0.25, 5_000),
+        jobtracker.Part("b", 0.25),
+        jobtracker.Part("c", 0.25, 700),
+        jobtracker.Part("d", 0.25),
     ),
     0.2,
     5_700,
@@ -28,7 +28,7 @@
 class End:
     def __init__(self, name, data_centre="osu"):
         timers = timer_service.LoopTimers()
-        self.book = enginebook.EngineBook()
+        self.book = jobtracker.JobTracker()
         self.health = healths.Health(data_centre)
         self.directory = directories.Directory(timers)
         self.peers = peer_table.PeerTable(name, data_centre, timers)
@@ -86,7 +86,7 @@
         await first.updates.send_heartbeat()
         await wait_for(lambda: second.peers.count_instances() == 2)
         second.updates.announce_placed(JOB)
-        await wait_for(lambda: first.book.find("b").reads)
+        await wait_for(lambda: first.book.find("b").prefills)
 
     run(step)
 
@@ -96,7 +96,7 @@
         first.updates.announce_broken("a", "osu")
         first.updates.announce_placed(JOB)
         await wait_for(lambda: second.book.find("a").jobs)
-        return second.health.is_on_trial("a")
+        return second.health.is_tripped("a")
 
     assert run(step)
     assert not run(step, "tema")
@@ -137,8 +137,8 @@
 
 
 def make_job(number):
-    part = enginebook.Part(f"e{number}", 0.1)
-    return enginebook.Job(f"i1.s1.e{number}", (part,), 0.2)
+    part = jobtracker.Part(f"e{number}", 0.1)
+    return jobtracker.Job(f"i1.s1.e{number}", (part,), 0.2)
 
 
 def test_peer_hears_only_of_engines_that_it_uses():
@@ -200,7 +200,7 @@
         first, second = End("i1"), End("i2")
         async with first.updates.open("127.0.0.1", 0):
             first.updates.announce_placed(JOB)
-            ended = enginebook.Job("i1.s1.2", JOB.parts, 0.2)
+            ended = jobtracker.Job("i1.s1.2", JOB.parts, 0.2)
             first.updates.announce_placed(ended)
             first.updates.announce_ended(ended)
             async with second.updates.open("127.0.0.1", 0):
--- a/rhubarblock/exchange/placer.py
+++ b/rhubarblock/exchange/placer.py
@@ -15,9 +15,9 @@
 from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.kernel import timers as timer_service
+from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
-from rhubarblock.routing import rests
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
 
@@ -53,12 +53,12 @@
     def __init__(
         self,
         directory: directories.Directory,
-        book: enginebook.EngineBook,
+        book: jobtracker.JobTracker,
         health: healths.Health,
         updates: peer_updates.PeerUpdates,
         candidates_: candidates.Candidates,
         limits: endpointlimits.EndpointLimits,
-        rests_: rests.Rests,
+        rests_: cooldowns.Cooldowns,
         data_centre: str,
         timers: timer_service.Timers,
     ):
@@ -93,7 +93,7 @@
         self,
         exchange: exchanges.Exchange,
         avoid: set[str],
-        hurried: bool = False,
+        is_mid_stream: bool = False,
         refusals: int = 0,
     ) -> Iterator[places.Place | None]:
         """Places an attempt and keeps it in the books while it lasts.
@@ -101,7 +101,7 @@
         Args:
           exchange: what is to be sent.
           avoid: endpoints that failed it.
-          hurried: whether the caller is within a stream already.
+          is_mid_stream: whether the caller is within a stream already.
           refusals: attempts that an endpoint refused.
 
         Yields:
@@ -118,7 +118,7 @@
             return
         now_s = self._timers.read_monotonic()
         job_id = self._make_job_id()
-        prompt = _describe(exchange, job_id, hurried, now_s, refusals)
+        prompt = _describe(exchange, job_id, is_mid_stream, now_s, refusals)
         with self._hold_prompt(prompt, endpoints, model, now_s) as place:
             yield place
 
@@ -197,7 +197,7 @@
             flow.exchange, flow.history.failed_endpoints
         )
 
-    def predict_start(self, flow: flows.Flow) -> float:
+    def find_start_delay(self, flow: flows.Flow) -> float:
         """Returns the seconds that an exchange had better wait here."""
         exchange = flow.exchange
         model = _find_model(exchange)
@@ -207,12 +207,12 @@
         prompt = _describe(exchange, "", flow.sink.begun, now_s)
         # Asked first: short prompts are most of all, and have no endpoints
         # listed for this.
-        if not self._parter.may_wait(prompt, model):
+        if not self._parter.may_defer(prompt, model):
             return 0.0
         endpoints = self._candidates.list_for(
             exchange, flow.history.failed_endpoints
         )
-        return self._parter.predict_start(prompt, endpoints, model, now_s)
+        return self._parter.find_start_delay(prompt, endpoints, model, now_s)
 
     def can_move(
         self, flow: flows.Flow, place: places.Place, is_busy: bool
@@ -346,7 +346,7 @@
 def _describe(
     exchange: exchanges.Exchange,
     job_id: str,
-    hurried: bool,
+    is_mid_stream: bool,
     now_s: float,
     refusals: int = 0,
 ) -> prompts.Prompt:
@@ -356,7 +356,7 @@
         exchange.answer_tokens,
         exchange.route.pause_s,
         exchange.route.objective_s,
-        hurried,
+        is_mid_stream,
         now_s - exchange.arrived_s,
         refusals,
     )
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -237,12 +237,12 @@
         """Lets a new exchange begin when that costs all callers least."""
         if flow.history.attempts:
             return
-        start_s = self._placer.predict_start(flow)
+        start_s = self._placer.find_start_delay(flow)
         if start_s > 0.0:
             self._outcomes.note_waiting(flow, start_s)
         while start_s > 0.0:
             await asyncio.sleep(min(start_s, START_S))
-            start_s = self._placer.predict_start(flow)
+            start_s = self._placer.find_start_delay(flow)
 
     async def _run_noted(
         self,
--- a/rhubarblock/exchange/relay_test.py
+++ b/rhubarblock/exchange/relay_test.py
@@ -11,7 +11,7 @@
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.exchange import flow as flows
 from rhubarblock.platform import names
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 
 ONCE = fakes.make_route(routes.RouteKind.NON_IDEMPOTENT)
 STREAM = fakes.make_route(routes.RouteKind.STREAMING)
@@ -94,10 +94,10 @@
                 await parts.relay.serve(
                     fakes.make_exchange(ONCE), fakes.MemorySink()
                 )
-            before = parts.health.is_on_trial("e1")
+            before = parts.health.is_tripped("e1")
             parts.directory.remove("e1")
             await parts.placer.remove_unlisted()
-            return before, parts.health.is_on_trial("e1")
+            return before, parts.health.is_tripped("e1")
 
     assert asyncio.run(main()) == (True, False)
 
@@ -330,14 +330,14 @@
                 await parts.relay.serve(exchange, fakes.MemorySink())
             except failures.FailureError:
                 pass
-            return [n for n in range(1, 5) if parts.health.is_on_trial(f"e{n}")]
+            return [n for n in range(1, 5) if parts.health.is_tripped(f"e{n}")]
 
     assert asyncio.run(main())
 
 
 def make_long_reading(number, read_s):
-    part = enginebook.Part(f"e{number}", read_s)
-    return enginebook.Job(f"long{number}", (part,), 0.8)
+    part = jobtracker.Part(f"e{number}", read_s)
+    return jobtracker.Job(f"long{number}", (part,), 0.8)
 
 
 def run_beside_long_reading(*busy_too):
@@ -420,8 +420,8 @@
         async with fakes.open_parts(*engines, service="pool") as parts:
             now_s = asyncio.get_running_loop().time()
             for number in range(1, 7):
-                part = enginebook.Part(f"e{number}", busy_s)
-                job = enginebook.Job(f"r{number}", (part,), 0.8, 210_000, 1.6)
+                part = jobtracker.Part(f"e{number}", busy_s)
+                job = jobtracker.Job(f"r{number}", (part,), 0.8, 210_000, 1.6)
                 parts.book.add(job, now_s)
             route = fakes.make_route(
                 routes.RouteKind.STREAMING, objective_s=3.0, pause_s=0.8
@@ -601,12 +601,12 @@
         endpoint = fakes.ScriptedEndpoint(SHED)
         async with fakes.open_parts(endpoint) as parts:
             parts.health.note_error("e1")
-            before = parts.health.share_of("e1")
+            before = parts.health.find_error_rate("e1")
             with pytest.raises(failures.FailureError):
                 await parts.relay.serve(
                     fakes.make_exchange(), fakes.MemorySink()
                 )
-            return before, parts.health.share_of("e1")
+            return before, parts.health.find_error_rate("e1")
 
     before, after = asyncio.run(main())
     assert before == after > 0.0
--- a/rhubarblock/exchange/statements.py
+++ b/rhubarblock/exchange/statements.py
@@ -13,7 +13,7 @@
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
-from rhubarblock.routing import rests
+from rhubarblock.routing import cooldowns
 
 # Characters of an unreadable text that a log line holds.
 SHOWN_CHARACTERS = 40
@@ -39,7 +39,7 @@
         self,
         directory: directories.Directory,
         limits: endpointlimits.EndpointLimits,
-        rests_: rests.Rests,
+        rests_: cooldowns.Cooldowns,
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
     ):
@@ -64,7 +64,9 @@
         name = endpoint.endpoint_id
         if self._directory.is_closed(name):
             return False
-        return not self._rests.is_resting(name, self._timers.read_monotonic())
+        return not self._rests.is_cooling_down(
+            name, self._timers.read_monotonic()
+        )
 
     def note_answer(
         self,
@@ -85,7 +87,7 @@
             not fields.refused
             and fields.statement.cooldown == statements.NO_COOLDOWN
         ):
-            self._rests.note_taken(endpoint.endpoint_id)
+            self._rests.note_accepted(endpoint.endpoint_id)
         if fields.refused or not fields.sealed:
             self.note_order(endpoint, fields.statement, sent_s)
             return
--- a/rhubarblock/experiments/admission.py
+++ b/rhubarblock/experiments/admission.py
@@ -52,8 +52,8 @@
       seed: decides arrivals, lengths and jitter.
       load: share of the fleet's prefill capacity.
     """
-    checked = _run(policy, seed, load, is_open=False)
-    opened = _run(policy, seed, load, is_open=True)
+    checked = _run(policy, seed, load, admits_all=False)
+    opened = _run(policy, seed, load, admits_all=True)
     refused = [x for x in checked.records if mixed.is_refused(x)]
     admitted = [x for x in checked.records if not mixed.is_refused(x)]
     names = {x.arrival.request.digest for x in refused}
@@ -74,7 +74,7 @@
 
 
 def _run(
-    policy: str, seed: int, load: float, is_open: bool
+    policy: str, seed: int, load: float, admits_all: bool
 ) -> simulation.Simulation:
     rate = mixed.choose_rate(mixed.ADWOA, load)
     plan = mixed.shape_fleet(mixed.ADWOA, policy, rate)
@@ -89,9 +89,9 @@
     async def run() -> simulation.Simulation:
         fleet = simulation.Simulation(plan, policy, seed, catalogue)
         await fleet.start_instances()
-        if is_open:
+        if admits_all:
             for node in fleet.instances.values():
-                node.instance.parts.admission.open()
+                node.instance.parts.admission.admit_all()
         await fleet.run(arrivals)
         await fleet.stop()
         return fleet
--- a/rhubarblock/experiments/capacity/page_test.py
+++ b/rhubarblock/experiments/capacity/page_test.py
@@ -7,7 +7,7 @@
 from rhubarblock.experiments.capacity import probe as capacityprobe
 from rhubarblock.experiments.capacity import roles as capacityroles
 from rhubarblock.plugins import length_aware
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 
 MACHINE = machines.Machine(4, 1.5, 100.0)
 TEMPLATE = "docs/capacity-template.md"
--- a/rhubarblock/experiments/capacity/routing.py
+++ b/rhubarblock/experiments/capacity/routing.py
@@ -21,8 +21,8 @@
 from rhubarblock.routing import ledger as ledgers
 from rhubarblock.routing import limits as limiters
 from rhubarblock.routing.lending import lender as lending
-from rhubarblock.routing.placement import answer as placements
 from rhubarblock.routing.placement import coordination
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.standins import memorypeers
 
--- a/rhubarblock/experiments/endpointlimits/fleet.py
+++ b/rhubarblock/experiments/endpointlimits/fleet.py
@@ -52,7 +52,7 @@
             {*names, self._name},
             key=lambda name: rendezvous.compute_score(endpoint_id, name),
         )
-        return limitpeers.OWN if best == self._name else best
+        return limitpeers.SELF if best == self._name else best
 
     def send_request(self, peer: str, request: messages.PermitRequest) -> None:
         self._send(peer, lambda to: to.receive_request(self._name, request))
@@ -63,7 +63,7 @@
     def send_report(self, peer: str, report: messages.LimitReport) -> None:
         self._send(peer, lambda to: to.receive_report(report))
 
-    def tell_report(self, report: messages.LimitReport) -> None:
+    def broadcast_report(self, report: messages.LimitReport) -> None:
         for peer in self._fleet.limits:
             if peer != self._name:
                 self.send_report(peer, report)
--- a/rhubarblock/experiments/endpointlimits/fleet_test.py
+++ b/rhubarblock/experiments/endpointlimits/fleet_test.py
@@ -115,7 +115,7 @@
         fleet = fleets.LimitFleet(7, limited(4.0))
         await fleet.load(fleet.limits, 5.0, 5.0, waits=True)
         chosen = fleet.peers["i0"].choose_coordinator(ENDPOINT_ID, set())
-        fleet.dead.add("i0" if chosen == limitpeers.OWN else chosen)
+        fleet.dead.add("i0" if chosen == limitpeers.SELF else chosen)
         begun_s = fleet.timers.read_monotonic()
         await fleet.load(fleet.limits, 5.0, 20.0, waits=True)
         later = [x for x in fleet.arrived_s if x > begun_s + 12.0]
--- a/rhubarblock/experiments/endpointrests/fleet.py
+++ b/rhubarblock/experiments/endpointrests/fleet.py
@@ -158,7 +158,7 @@
             answer = endpoint.answer(self._timers.read_monotonic())
             await self._timers.sleep(answer.after_s + way_s)
         if answer.is_taken:
-            self._notice.note_taken(endpoint_id)
+            self._notice.note_accepted(endpoint_id)
         if answer.rest_s:
             now_s = self._timers.read_monotonic()
             traffic.asked_s.append(now_s)
@@ -170,7 +170,8 @@
         """Returns the seconds after which a refused caller comes back."""
         now_s = self._timers.read_monotonic()
         left_s = min(
-            self._notice.find_left(e.endpoint_id, now_s) for e in self._used
+            self._notice.find_remaining(e.endpoint_id, now_s)
+            for e in self._used
         )
         spread_s = candidates.REST_SPREAD_S * self._rng.random()
         return max(relay.RETRY_AFTER_S, left_s) + spread_s
--- a/rhubarblock/experiments/endpointrests/ways.py
+++ b/rhubarblock/experiments/endpointrests/ways.py
@@ -4,7 +4,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.kernel import metrics as metric_store
-from rhubarblock.routing import rests
+from rhubarblock.routing import cooldowns
 
 # The ways: no notice of rests, those asked of the instance itself, those asked
 # of any instance, and those of others as a hint only.
@@ -44,10 +44,10 @@
     def note_chosen(self, endpoint_id: str, now_s: float) -> None:
         """Takes in that a request goes to an endpoint."""
 
-    def note_taken(self, endpoint_id: str) -> None:
+    def note_accepted(self, endpoint_id: str) -> None:
         """Takes in that an endpoint took a request."""
 
-    def find_left(self, endpoint_id: str, now_s: float) -> float:
+    def find_remaining(self, endpoint_id: str, now_s: float) -> float:
         """Returns the seconds for which an endpoint must get nothing."""
         del endpoint_id, now_s
         return 0.0
@@ -65,7 +65,7 @@
 
     def __init__(self) -> None:
         """Starts without rests."""
-        self._rests = rests.Rests(metric_store.Metrics())
+        self._rests = cooldowns.Cooldowns(metric_store.Metrics())
 
     def hear_endpoint(
         self, endpoint_id: str, length_s: float, now_s: float
@@ -76,11 +76,11 @@
     def note_chosen(self, endpoint_id: str, now_s: float) -> None:
         self._rests.note_chosen(endpoint_id, now_s)
 
-    def note_taken(self, endpoint_id: str) -> None:
-        self._rests.note_taken(endpoint_id)
+    def note_accepted(self, endpoint_id: str) -> None:
+        self._rests.note_accepted(endpoint_id)
 
-    def find_left(self, endpoint_id: str, now_s: float) -> float:
-        return self._rests.find_left(endpoint_id, now_s)
+    def find_remaining(self, endpoint_id: str, now_s: float) -> float:
+        return self._rests.find_remaining(endpoint_id, now_s)
 
     def select(
         self, endpoints: list[lists.ListedEndpoint], now_s: float
@@ -90,12 +90,12 @@
         awake = [
             endpoint
             for endpoint in endpoints
-            if not self._rests.is_resting(endpoint.endpoint_id, now_s)
+            if not self._rests.is_cooling_down(endpoint.endpoint_id, now_s)
         ]
         sound = [
             endpoint
             for endpoint in awake
-            if not self._rests.is_tried(endpoint.endpoint_id, now_s)
+            if not self._rests.is_probed(endpoint.endpoint_id, now_s)
         ]
         return sound or awake
 
@@ -106,7 +106,7 @@
     def hear_endpoint(
         self, endpoint_id: str, length_s: float, now_s: float
     ) -> bool:
-        is_news = not self._rests.is_resting(endpoint_id, now_s)
+        is_news = not self._rests.is_cooling_down(endpoint_id, now_s)
         super().hear_endpoint(endpoint_id, length_s, now_s)
         return is_news
 
@@ -126,15 +126,15 @@
           rng: spreads the ends of hints.
         """
         super().__init__()
-        self._hints = rests.Rests(metric_store.Metrics())
+        self._hints = cooldowns.Cooldowns(metric_store.Metrics())
         self._rng = rng
 
     def hear_endpoint(
         self, endpoint_id: str, length_s: float, now_s: float
     ) -> bool:
         is_news = not (
-            self._rests.is_resting(endpoint_id, now_s)
-            or self._hints.is_resting(endpoint_id, now_s)
+            self._rests.is_cooling_down(endpoint_id, now_s)
+            or self._hints.is_cooling_down(endpoint_id, now_s)
         )
         super().hear_endpoint(endpoint_id, length_s, now_s)
         return is_news
@@ -149,9 +149,9 @@
         super().note_chosen(endpoint_id, now_s)
         self._hints.note_chosen(endpoint_id, now_s)
 
-    def note_taken(self, endpoint_id: str) -> None:
-        super().note_taken(endpoint_id)
-        self._hints.note_taken(endpoint_id)
+    def note_accepted(self, endpoint_id: str) -> None:
+        super().note_accepted(endpoint_id)
+        self._hints.note_accepted(endpoint_id)
 
     def select(
         self, endpoints: list[lists.ListedEndpoint], now_s: float
@@ -162,8 +162,8 @@
         unhinted = [
             endpoint
             for endpoint in open_
-            if not self._hints.is_resting(endpoint.endpoint_id, now_s)
-            and not self._hints.is_tried(endpoint.endpoint_id, now_s)
+            if not self._hints.is_cooling_down(endpoint.endpoint_id, now_s)
+            and not self._hints.is_probed(endpoint.endpoint_id, now_s)
         ]
         return unhinted or open_
 
--- a/rhubarblock/experiments/faults/scenario.py
+++ b/rhubarblock/experiments/faults/scenario.py
@@ -18,7 +18,7 @@
 from rhubarblock.experiments.faults import fleet as faultfleet
 from rhubarblock.experiments.faults import kinds as faultkinds
 from rhubarblock.kernel import virtualloop
-from rhubarblock.routing.quarantine import book as quarantinebook
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 
 TRAFFIC_S = 12.0
 PROMPTS_PER_S = 10.0
@@ -325,7 +325,7 @@
 
 def _count_innocents(fleet: faultfleet.FaultFleet) -> int:
     """Counts digests in quarantine anywhere that crash no engine."""
-    guilty = {quarantinebook.shorten(digest) for digest in fleet.poisons}
+    guilty = {quarantineregistry.shorten(digest) for digest in fleet.poisons}
     blamed = {
         entry.digest
         for node in fleet.instances.values()
--- a/rhubarblock/experiments/limits/fleet.py
+++ b/rhubarblock/experiments/limits/fleet.py
@@ -131,7 +131,7 @@
         """Returns the instance that coordinates an entry, seen from any."""
         lender = self.live_nodes[0].lender
         assert lender is not None
-        duty = lender.find_duty(key)
+        duty = lender.find_shard(key)
         chosen = assignment.choose_coordinator(
             duty, [node.member for node in self.live_nodes]
         )
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/play.py
@@ -21,13 +21,13 @@
 from rhubarblock.kernel import registry as registries
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import promptpolicy
 from rhubarblock.standins.engine import passes as passengine
 
-BookStep = Callable[[enginebook.EngineBook], None]
+BookStep = Callable[[jobtracker.JobTracker], None]
 
 ORACLE = "oracle"
 # Seconds in which requests arrive.
@@ -224,9 +224,9 @@
             for centre, count in enumerate(plan.instances)
             for _ in range(count)
         ]
-        shared = enginebook.EngineBook()
+        shared = jobtracker.JobTracker()
         self._books = [
-            shared if self._is_oracle else enginebook.EngineBook()
+            shared if self._is_oracle else jobtracker.JobTracker()
             for _ in self._centres
         ]
         chosen = _find_policy(policy)
@@ -276,7 +276,7 @@
             prompt = _describe(arrival)
             now_s = _read_clock()
             used = self._used[arrival.instance]
-            start_s = policy.predict_start(prompt, used, model, now_s)
+            start_s = policy.find_start_delay(prompt, used, model, now_s)
             if start_s <= 0.0:
                 return
             await asyncio.sleep(min(start_s, relays.START_S))
@@ -295,7 +295,7 @@
         )
         return choice
 
-    def _tell(self, sender: int, job: enginebook.Job, step: BookStep) -> None:
+    def _tell(self, sender: int, job: jobtracker.Job, step: BookStep) -> None:
         """Takes a step in the sender's book, and later in its peers' books.
 
         Those hear of it that use an engine of the job, one after the other, as
@@ -348,9 +348,9 @@
         tokens = arrival.prompt_tokens / count
         for part in choice.job.parts[1:]:
             self.engines[part.endpoint_id].help(
-                passengine.Part(tokens, part.read_s, finish)
+                passengine.Part(tokens, part.prefill_s, finish)
             )
-        own = passengine.Part(tokens, choice.job.parts[0].read_s, finish)
+        own = passengine.Part(tokens, choice.job.parts[0].prefill_s, finish)
         first.submit(writer, own)
         await ended.wait()
         outcome.first_s = times[0] - arrival.at_s
--- a/rhubarblock/experiments/quarantine.py
+++ b/rhubarblock/experiments/quarantine.py
@@ -345,7 +345,7 @@
             if not chosen:
                 raise _GoneError
             return chosen
-        kept = own.list_kept(_SERVICE, self._list_ready())
+        kept = own.list_reserved(_SERVICE, self._list_ready())
         return [e for e in ready if e.endpoint_id not in kept]
 
     def _kill(self, endpoint: _Endpoint, digest: str) -> None:
--- a/rhubarblock/plugins/fixed_lanes.py
+++ b/rhubarblock/plugins/fixed_lanes.py
@@ -43,7 +43,7 @@
             wanted = 1 + int(whole_s / PART_READ_S)
             most = min(partplan.MAX_PARTS, len(lane))
             count = max(count, min(wanted, most))
-        chosen = least_requests.choose_least(self._book, lane, model, count)
+        chosen = least_requests.choose_least(self._tracker, lane, model, count)
         if not chosen:
             return None
         return least_requests.make_choice(prompt, chosen, model)
--- a/rhubarblock/plugins/least_requests.py
+++ b/rhubarblock/plugins/least_requests.py
@@ -6,7 +6,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import partplan
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import promptpolicy
@@ -27,7 +27,7 @@
         now_s: float,
     ) -> prompts.Choice | None:
         count = count_holders(prompt, model)
-        chosen = choose_least(self._book, engines, model, count)
+        chosen = choose_least(self._tracker, engines, model, count)
         if not chosen:
             return None
         return make_choice(prompt, chosen, model)
@@ -42,7 +42,7 @@
 
 
 def choose_least(
-    book: enginebook.EngineBook,
+    tracker: jobtracker.JobTracker,
     engines: list[lists.ListedEndpoint],
     model: routes.EngineCostModel,
     count: int,
@@ -52,11 +52,12 @@
     It is empty if none has a slot, or if there are too few.
     """
     ranked = sorted(
-        engines, key=lambda e: (len(book.find(e.endpoint_id).jobs), e.address)
+        engines,
+        key=lambda e: (len(tracker.find(e.endpoint_id).jobs), e.address),
     )
     if len(ranked) < count:
         return []
-    if len(book.find(ranked[0].endpoint_id).jobs) >= model.slots:
+    if len(tracker.find(ranked[0].endpoint_id).jobs) >= model.slots:
         return []
     return ranked[:count]
 
@@ -68,10 +69,11 @@
 ) -> prompts.Choice:
     """Returns the choice that reads a prompt in even parts."""
     count = len(engines)
-    read_s = model.predict_prefill(prompt.prompt_tokens, count)
+    prefill_s = model.predict_prefill(prompt.prompt_tokens, count)
     held = -(-(prompt.prompt_tokens + prompt.answer_tokens) // count)
     parts = tuple(
-        enginebook.Part(engine.endpoint_id, read_s, held) for engine in engines
+        jobtracker.Part(engine.endpoint_id, prefill_s, held)
+        for engine in engines
     )
-    job = enginebook.Job(prompt.job_id, parts, prompt.pause_s)
-    return prompts.Choice(job, tuple(engines), read_s)
+    job = jobtracker.Job(prompt.job_id, parts, prompt.pause_s)
+    return prompts.Choice(job, tuple(engines), prefill_s)
--- a/rhubarblock/plugins/length_aware.py
+++ b/rhubarblock/plugins/length_aware.py
@@ -13,7 +13,7 @@
 """
 
 from rhubarblock.core import endpoint as endpoints
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.routing.placement import policy
 from rhubarblock.routing.placement import segments
--- a/rhubarblock/plugins/naive.py
+++ b/rhubarblock/plugins/naive.py
@@ -5,7 +5,7 @@
 differential tests and of every measurement.
 """
 
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.routing.placement import policy
 from rhubarblock.routing.placement import segments
--- a/rhubarblock/plugins/parted_at_once.py
+++ b/rhubarblock/plugins/parted_at_once.py
@@ -16,7 +16,7 @@
 
     plugin_name = "parted_at_once"
 
-    def may_wait(
+    def may_defer(
         self, prompt: prompts.Prompt, model: routes.EngineCostModel
     ) -> bool:
         del prompt, model
--- a/rhubarblock/relay/guard.py
+++ b/rhubarblock/relay/guard.py
@@ -16,7 +16,7 @@
 from rhubarblock.core import request as requests
 from rhubarblock.relay import crashes
 from rhubarblock.routing import limits
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.quarantine import gate as quarantines
 
 # Prompts over this many tokens count against the limit of long prompts.
--- a/rhubarblock/relay/promptrelay.py
+++ b/rhubarblock/relay/promptrelay.py
@@ -105,7 +105,7 @@
             latest_start_s = self._check_deadline(request)
             self._metrics.count("relay.admitted")
             queue = self._routing.queue
-            async with queue.take_turn(request, latest_start_s) as turn:
+            async with queue.acquire(request, latest_start_s) as turn:
                 return await self._serve(request, sink, turn)
 
     def _check_deadline(self, request: requests.PromptRequest) -> float:
@@ -120,7 +120,7 @@
         self,
         request: requests.PromptRequest,
         sink: sinks.Sink,
-        turn: fairqueue.Turn,
+        turn: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         cursor = cursors.AnswerCursor(sink, self._metrics)
         history = retries.History()
@@ -145,7 +145,7 @@
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.Turn,
+        turn: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         while True:
             history.attempts += 1
--- a/rhubarblock/relay/runner.py
+++ b/rhubarblock/relay/runner.py
@@ -19,7 +19,7 @@
 from rhubarblock.relay import cleanup as cleanups
 from rhubarblock.relay import cursor as cursors
 from rhubarblock.relay import stalls
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import predictor
 
 # Seconds without a token after which an engine counts as stalled.
--- a/rhubarblock/relay/runner_test.py
+++ b/rhubarblock/relay/runner_test.py
@@ -12,7 +12,7 @@
 from rhubarblock.relay import runner as runners
 from rhubarblock.relay import sink as sinks
 from rhubarblock.relay import stalls
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.standins.engine import testing as enginetesting
 from rhubarblock.standins.engine import tokens as enginetokens
 
--- a/rhubarblock/relay/tries.py
+++ b/rhubarblock/relay/tries.py
@@ -23,8 +23,8 @@
 from rhubarblock.routing import admission as admissions
 from rhubarblock.routing import fairqueue
 from rhubarblock.routing import lanes
-from rhubarblock.routing.placement import answer as placements
 from rhubarblock.routing.placement import coordination
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import predictor as predictors
 from rhubarblock.routing.quarantine import gate as quarantines
 
@@ -106,7 +106,7 @@
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.Turn,
+        turn: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         """Runs a prompt once, from where its caller has the answer.
 
@@ -132,7 +132,7 @@
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.Turn,
+        turn: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         grant_id = f"{request.request_id}/{history.attempts}"
         query = self._make_query(request, cursor, history)
@@ -232,7 +232,7 @@
         self,
         grant_id: str,
         cursor: cursors.AnswerCursor,
-        turn: fairqueue.Turn,
+        turn: fairqueue.DispatchPermit,
         times: "JobTimes",
         permit: quarantines.Permit | None,
     ) -> Callable[[], None]:
--- a/rhubarblock/routing/admission.py
+++ b/rhubarblock/routing/admission.py
@@ -15,17 +15,17 @@
 
     __slots__ = ("_is_open", "_predictor")
 
-    def __init__(self, predictor: predictors.Predictor, is_open: bool):
+    def __init__(self, predictor: predictors.Predictor, admits_all: bool):
         """Creates the check.
 
         Args:
           predictor: what was learned of the times of prompts.
-          is_open: whether everything is let in, however late it may end.
+          admits_all: whether everything is let in, however late it may end.
         """
         self._predictor = predictor
-        self._is_open = is_open
+        self._is_open = admits_all
 
-    def open(self) -> None:
+    def admit_all(self) -> None:
         """Lets in everything from now on."""
         self._is_open = True
 
--- a/rhubarblock/routing/admission_test.py
+++ b/rhubarblock/routing/admission_test.py
@@ -55,7 +55,7 @@
 
 
 def test_only_what_can_end_in_time_is_admitted():
-    admission = admissions.Admission(predictors.Predictor(), is_open=False)
+    admission = admissions.Admission(predictors.Predictor(), admits_all=False)
     request = make_request(deadline_s=10.0)
     bound_s = 1.75 * (predictors.nominal_start(36_000) + 1.0)
     admitted = admission.check(request, 2.0, 1.0)
@@ -69,7 +69,7 @@
 
 
 def test_open_admission_lets_everything_in_up_to_the_deadline():
-    admission = admissions.Admission(predictors.Predictor(), is_open=True)
+    admission = admissions.Admission(predictors.Predictor(), admits_all=True)
     assert admission.check(make_request(), 9.9, 0.0) == result.Success(10.0)
     assert isinstance(
         admission.check(make_request(), 10.1, 0.0), result.Failure
--- a/rhubarblock/routing/rests.py
+++ b/rhubarblock/routing/cooldowns.py
@@ -32,7 +32,7 @@
     trial_until_s: float = -math.inf
 
 
-class Rests:
+class Cooldowns:
     """The rests that endpoints asked of one instance."""
 
     __slots__ = ("_metrics", "_rests")
@@ -74,22 +74,22 @@
         if rest is not None:
             rest.trial_until_s = now_s + TRIAL_S
 
-    def note_taken(self, endpoint_id: str) -> None:
+    def note_accepted(self, endpoint_id: str) -> None:
         """Takes in that an endpoint took a request."""
         rest = self._rests.get(endpoint_id)
         if rest is not None and rest.trial_until_s > -math.inf:
             del self._rests[endpoint_id]
 
-    def is_resting(self, endpoint_id: str, now_s: float) -> bool:
+    def is_cooling_down(self, endpoint_id: str, now_s: float) -> bool:
         """Says whether an endpoint must get nothing at present."""
-        return self.find_left(endpoint_id, now_s) > 0.0
+        return self.find_remaining(endpoint_id, now_s) > 0.0
 
-    def is_tried(self, endpoint_id: str, now_s: float) -> bool:
+    def is_probed(self, endpoint_id: str, now_s: float) -> bool:
         """Says whether a request tries an endpoint after its rest."""
         rest = self._rests.get(endpoint_id)
         return rest is not None and now_s < rest.trial_until_s
 
-    def find_left(self, endpoint_id: str, now_s: float) -> float:
+    def find_remaining(self, endpoint_id: str, now_s: float) -> float:
         """Returns the seconds that a rest still lasts, 0 without one."""
         rest = self._rests.get(endpoint_id)
         return max(0.0, rest.until_s - now_s) if rest else 0.0
--- a/rhubarblock/routing/endpointlimits/coordinator.py
+++ b/rhubarblock/routing/endpointlimits/coordinator.py
@@ -9,7 +9,7 @@
 import random
 
 from rhubarblock.kernel import metrics as metric_store
-from rhubarblock.routing.endpointlimits import book as limitbook
+from rhubarblock.routing.endpointlimits import limittable as limittables
 from rhubarblock.routing.endpointlimits import messages
 from rhubarblock.routing.endpointlimits import peers as limitpeers
 from rhubarblock.routing.endpointlimits import schedule as schedules
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        book: limitbook.LimitBook,
+        book: limittables.LimitTable,
         peers: limitpeers.LimitPeers,
         rng: random.Random,
         metrics: metric_store.Metrics,
@@ -123,14 +123,18 @@
             request.wanted, rate, now_s, request.within_s
         )
         self._metrics.count("limits.granted", slots.count)
-        again_s = slots.again_s
+        retry_after_s = slots.retry_after_s
         if request.wanted:
             wanting = shared.count_wanting(peer, now_s)
             if not slots.count:
                 turns_s = 2.0 * wanting / WELCOME_PER_S
-                again_s += turns_s * self._rng.random()
+                retry_after_s += turns_s * self._rng.random()
         return messages.PermitGrant(
-            endpoint_id, slots.count, slots.delay_s, slots.spacing_s, again_s
+            endpoint_id,
+            slots.count,
+            slots.delay_s,
+            slots.spacing_s,
+            retry_after_s,
         )
 
     def forget(self, endpoint_id: str) -> None:
--- a/rhubarblock/routing/endpointlimits/coordinator_test.py
+++ b/rhubarblock/routing/endpointlimits/coordinator_test.py
@@ -5,8 +5,8 @@
 from rhubarblock.core import ratelimit as ratelimits
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.kernel import metrics as metric_store
-from rhubarblock.routing.endpointlimits import book as limitbook
 from rhubarblock.routing.endpointlimits import coordinator as coordinators
+from rhubarblock.routing.endpointlimits import limittable as limittables
 from rhubarblock.routing.endpointlimits import messages
 
 USERS = 4
@@ -20,7 +20,7 @@
 
 def make_coordinator(rate=RATE):
     metrics = metric_store.Metrics()
-    book = limitbook.LimitBook(metrics)
+    book = limittables.LimitTable(metrics)
     book.note_answer("e1", ratelimits.StatedLimit(rate), 0.0, 0.0)
     coordinator = coordinators.PermitCoordinator(
         book, Peers(), random.Random(1), metrics
@@ -67,14 +67,14 @@
 def test_pledge_that_is_not_free_yet_grants_nothing():
     _, coordinator = make_coordinator()
     grant = ask(coordinator, "p1", 0.0, 5, free_in_s=3.0)
-    assert (grant.count, grant.again_s) == (0, 3.0)
+    assert (grant.count, grant.retry_after_s) == (0, 3.0)
 
 
 def test_those_that_get_nothing_do_not_ask_again_together():
     _, coordinator = make_coordinator(1.0)
     peers = [f"p{n}" for n in range(USERS)]
     grants = [ask(coordinator, peer, 0.0, 1) for peer in peers]
-    again = [grant.again_s for grant in grants if not grant.count]
+    again = [grant.retry_after_s for grant in grants if not grant.count]
     assert len(set(again)) == len(again) >= 2
 
 
--- a/rhubarblock/routing/endpointlimits/book.py
+++ b/rhubarblock/routing/endpointlimits/limittable.py
@@ -53,7 +53,7 @@
     statement: Statement
 
 
-class LimitBook:
+class LimitTable:
     """The limits that one instance knows, by endpoint."""
 
     __slots__ = ("_ended", "_limits", "_metrics")
@@ -166,7 +166,7 @@
             endpoint_id, last.per_s, now_s - last.sent_s, now_s - last.heard_s
         )
 
-    def hear(self, report: messages.LimitReport, now_s: float) -> bool:
+    def receive(self, report: messages.LimitReport, now_s: float) -> bool:
         """Takes in what a peer tells.
 
         Returns:
--- a/rhubarblock/routing/endpointlimits/book_test.py
+++ b/rhubarblock/routing/endpointlimits/limittable_test.py
@@ -4,7 +4,7 @@
 
 from rhubarblock.core import ratelimit as ratelimits
 from rhubarblock.kernel import metrics as metric_store
-from rhubarblock.routing.endpointlimits import book as limitbook
+from rhubarblock.routing.endpointlimits import limittable as limittables
 
 
 def make_book(*answers):
@@ -13,7 +13,7 @@
     Args:
       answers: stated limit a second, moment of sending, moment of hearing.
     """
-    book = limitbook.LimitBook(metric_store.Metrics())
+    book = limittables.LimitTable(metric_store.Metrics())
     changes = [
         book.note_answer("e1", ratelimits.StatedLimit(per_s), sent_s, heard_s)
         for per_s, sent_s, heard_s in answers
@@ -40,7 +40,7 @@
         ([(1.0, 1.0, 2.0), (5.0, 2.5, 3.0)], 5.0),
         # A lower one counts whenever it was asked for.
         ([(5.0, 1.0, 2.0), (1.0, 0.5, 3.0)], 1.0),
-        ([(1e300, 1.0, 2.0)], limitbook.MOST_PER_S),
+        ([(1e300, 1.0, 2.0)], limittables.MOST_PER_S),
     ],
 )
 def test_newest_word_counts_and_a_lower_one_always(answers, rate):
--- a/rhubarblock/routing/endpointlimits/messages.py
+++ b/rhubarblock/routing/endpointlimits/messages.py
@@ -49,11 +49,11 @@
       count: how many.
       delay_s: seconds until the first one may be used.
       spacing_s: seconds from each one to the next.
-      again_s: seconds after which more may be asked for.
+      retry_after_s: seconds after which more may be asked for.
     """
 
     endpoint_id: str
     count: int
     delay_s: float
     spacing_s: float
-    again_s: float
+    retry_after_s: float
--- a/rhubarblock/routing/endpointlimits/peers.py
+++ b/rhubarblock/routing/endpointlimits/peers.py
@@ -5,7 +5,7 @@
 from rhubarblock.routing.endpointlimits import messages
 
 # Stands for this instance among the names of peers.
-OWN = ""
+SELF = ""
 
 
 class LimitPeers(abc.ABC):
@@ -17,7 +17,7 @@
 
     @abc.abstractmethod
     def choose_coordinator(self, endpoint_id: str, silent: set[str]) -> str:
-        """Returns the peer that grants an endpoint's permits, or ``OWN``.
+        """Returns the peer that grants an endpoint's permits, or ``SELF``.
 
         Instances that see the same peers choose the same one.
 
@@ -39,5 +39,5 @@
         """Tells one peer what an endpoint said."""
 
     @abc.abstractmethod
-    def tell_report(self, report: messages.LimitReport) -> None:
+    def broadcast_report(self, report: messages.LimitReport) -> None:
         """Tells all peers that use an endpoint what it said."""
--- a/rhubarblock/routing/endpointlimits/requester.py
+++ b/rhubarblock/routing/endpointlimits/requester.py
@@ -11,9 +11,9 @@
 
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
-from rhubarblock.routing.endpointlimits import book as limitbook
 from rhubarblock.routing.endpointlimits import coordinator as coordinators
 from rhubarblock.routing.endpointlimits import holding
+from rhubarblock.routing.endpointlimits import limittable as limittables
 from rhubarblock.routing.endpointlimits import messages
 from rhubarblock.routing.endpointlimits import peers as limitpeers
 
@@ -47,18 +47,18 @@
       is_open: whether that request has no answer yet.
       misses: requests in a row without an answer.
       pledged_until_s: until when the share may count as pledged to it.
-      again_s: before this moment there is nothing to be had.
+      retry_after_s: before this moment there is nothing to be had.
       wanted: requests that could use a permit since it was last asked, and the
         moments until which they could.
     """
 
-    coordinator: str = limitpeers.OWN
+    coordinator: str = limitpeers.SELF
     chosen_s: float = -CHOICE_S
     asked_s: float = -PLEDGE_EVERY_S
     is_open: bool = False
     misses: int = 0
     pledged_until_s: float = 0.0
-    again_s: float = 0.0
+    retry_after_s: float = 0.0
     wanted: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        book: limitbook.LimitBook,
+        book: limittables.LimitTable,
         held: holding.HeldPermits,
         coordinator: coordinators.PermitCoordinator,
         peers: limitpeers.LimitPeers,
@@ -107,7 +107,9 @@
         self._silent: dict[str, float] = {}
         self._look: asyncio.TimerHandle | None = None
 
-    def want(self, endpoint_id: str, request_id: str, within_s: float) -> None:
+    def request_permit(
+        self, endpoint_id: str, request_id: str, within_s: float
+    ) -> None:
         """Takes in that a request could use a permit, and asks for it.
 
         Args:
@@ -118,7 +120,7 @@
         """
         now_s = self._timers.read_monotonic()
         asking = self._find(endpoint_id)
-        if now_s < asking.again_s:
+        if now_s < asking.retry_after_s:
             return
         asking.wanted[request_id] = now_s + within_s
         held = self._held.count(endpoint_id, now_s)
@@ -133,7 +135,7 @@
         if self._look is None and self._book:
             self._look = self._timers.call_later(LOOK_S, self._look_again)
 
-    def hear(self, peer: str, grant: messages.PermitGrant) -> None:
+    def receive(self, peer: str, grant: messages.PermitGrant) -> None:
         """Takes in the answer of a peer, or of this instance itself."""
         asking = self._asking.get(grant.endpoint_id)
         if asking is None or self._book.find(grant.endpoint_id) is None:
@@ -143,7 +145,7 @@
         if peer == asking.coordinator:
             asking.is_open = False
             asking.misses = 0
-            asking.again_s = now_s + grant.again_s
+            asking.retry_after_s = now_s + grant.retry_after_s
         self._held.add(grant, now_s)
 
     def predict_wait(self, endpoint_id: str) -> float:
@@ -152,7 +154,7 @@
         next_s = self._held.predict_next(endpoint_id, now_s)
         if next_s is not None:
             return next_s
-        return max(0.0, self._find(endpoint_id).again_s - now_s)
+        return max(0.0, self._find(endpoint_id).retry_after_s - now_s)
 
     def forget(self, endpoint_id: str) -> None:
         """Forgets an endpoint that names no limit any more."""
@@ -210,10 +212,10 @@
         )
         asking.wanted.clear()
         asking.asked_s = now_s
-        if asking.coordinator == limitpeers.OWN:
-            grant = self._coordinator.grant(limitpeers.OWN, request, now_s)
+        if asking.coordinator == limitpeers.SELF:
+            grant = self._coordinator.grant(limitpeers.SELF, request, now_s)
             if grant is not None:
-                self.hear(limitpeers.OWN, grant)
+                self.receive(limitpeers.SELF, grant)
             return
         asking.is_open = True
         self._metrics.count("limits.asked")
--- a/rhubarblock/routing/endpointlimits/schedule.py
+++ b/rhubarblock/routing/endpointlimits/schedule.py
@@ -19,13 +19,13 @@
       count: how many there are.
       delay_s: seconds until the first one.
       spacing_s: seconds from each one to the next.
-      again_s: seconds until the next one can be booked.
+      retry_after_s: seconds until the next one can be booked.
     """
 
     count: int
     delay_s: float
     spacing_s: float
-    again_s: float
+    retry_after_s: float
 
 
 class PermitSchedule:
@@ -59,8 +59,8 @@
         count = max(0, min(wanted, int(bookable)))
         delay_s = max(0.0, (1.0 - self._level) / rate)
         self._level -= count
-        again_s = max(0.0, (1.0 - self._level) / rate - HORIZON_S)
-        return Slots(count, delay_s, 1.0 / rate, again_s)
+        retry_after_s = max(0.0, (1.0 - self._level) / rate - HORIZON_S)
+        return Slots(count, delay_s, 1.0 / rate, retry_after_s)
 
     def _settle(self, rate: float, now_s: float) -> None:
         saved = max(1.0, SAVED_S * rate)
--- a/rhubarblock/routing/endpointlimits/schedule_test.py
+++ b/rhubarblock/routing/endpointlimits/schedule_test.py
@@ -7,7 +7,7 @@
 
 def book(schedule, wanted, rate, now_s):
     slots = schedule.book(wanted, rate, now_s)
-    return slots.count, round(slots.delay_s, 3), round(slots.again_s, 3)
+    return slots.count, round(slots.delay_s, 3), round(slots.retry_after_s, 3)
 
 
 def test_permits_come_one_after_the_other():
--- a/rhubarblock/routing/fairqueue.py
+++ b/rhubarblock/routing/fairqueue.py
@@ -57,7 +57,7 @@
     waiters: list[_Waiter] = dataclasses.field(default_factory=list)
 
 
-class Turn:
+class DispatchPermit:
     """The right of one request to be out at the engines."""
 
     __slots__ = ("_queue", "_tokens")
@@ -130,9 +130,9 @@
         return self._waiting_tokens / window * WINDOW_S
 
     @contextlib.asynccontextmanager
-    async def take_turn(
+    async def acquire(
         self, request: requests.PromptRequest, latest_start_s: float
-    ) -> AsyncIterator[Turn]:
+    ) -> AsyncIterator[DispatchPermit]:
         """Waits until the request may go out and owns its room meanwhile.
 
         Args:
@@ -150,7 +150,7 @@
             await self._wait(flow, request, latest_start_s)
         else:
             self._let_out(flow, request)
-        turn = Turn(self, count_window_tokens(request))
+        turn = DispatchPermit(self, count_window_tokens(request))
         try:
             yield turn
         finally:
--- a/rhubarblock/routing/fairqueue_test.py
+++ b/rhubarblock/routing/fairqueue_test.py
@@ -44,7 +44,7 @@
         )
 
         async def take():
-            async with self.queue.take_turn(request, start_s) as turn:
+            async with self.queue.acquire(request, start_s) as turn:
                 self.out.append(name)
                 self.turns[name] = turn
                 await asyncio.get_running_loop().create_future()
--- a/rhubarblock/routing/health.py
+++ b/rhubarblock/routing/health.py
@@ -61,7 +61,7 @@
         self._states: dict[str, _State] = {}
         self._ways: dict[str, _Way] = {}
 
-    def note_broken(
+    def note_unreachable(
         self, endpoint_id: str, data_centre: str, now_s: float
     ) -> bool:
         """Takes in a connection that failed, or a silence.
@@ -124,12 +124,12 @@
             return True
         return state.share > SICK_SHARE
 
-    def is_on_trial(self, endpoint_id: str) -> bool:
+    def is_tripped(self, endpoint_id: str) -> bool:
         """Says whether an endpoint failed and has not answered since."""
         state = self._states.get(endpoint_id)
         return state is not None and state.failures > 0
 
-    def share_of(self, endpoint_id: str) -> float:
+    def find_error_rate(self, endpoint_id: str) -> float:
         """Returns the share of failures among its latest answers."""
         state = self._states.get(endpoint_id)
         return state.share if state else 0.0
--- a/rhubarblock/routing/health_test.py
+++ b/rhubarblock/routing/health_test.py
@@ -7,29 +7,29 @@
 
 def test_broken_endpoint_is_left_twice_as_long_each_time():
     health = healths.Health("osu")
-    assert health.note_broken("a", "osu", 0.0)
+    assert health.note_unreachable("a", "osu", 0.0)
     assert is_suspect(health, "a", 0.69)
     assert not is_suspect(health, "a", 0.7)
-    assert health.note_broken("a", "osu", 1.0)
+    assert health.note_unreachable("a", "osu", 1.0)
     assert is_suspect(health, "a", 2.39)
     assert not is_suspect(health, "a", 2.4)
 
 
 def test_requests_that_were_under_way_count_once():
     health = healths.Health("osu")
-    health.note_broken("a", "osu", 0.0)
-    assert not health.note_broken("a", "osu", 0.5)
+    health.note_unreachable("a", "osu", 0.0)
+    assert not health.note_unreachable("a", "osu", 0.5)
     assert not is_suspect(health, "a", 0.7)
 
 
 def test_one_request_tries_an_endpoint_before_others_come_back():
     health = healths.Health("osu")
-    health.note_broken("a", "osu", 0.0)
-    assert health.is_on_trial("a")
+    health.note_unreachable("a", "osu", 0.0)
+    assert health.is_tripped("a")
     health.note_chosen("a", 0.8)
     assert is_suspect(health, "a", 0.9)
     health.note_success("a", "osu")
-    assert not health.is_on_trial("a")
+    assert not health.is_tripped("a")
     assert not is_suspect(health, "a", 1.9)
 
 
@@ -47,9 +47,9 @@
 
 def test_data_centre_whose_endpoints_fall_silent_together_is_left():
     health = healths.Health("osu")
-    health.note_broken("a", "tema", 0.0)
+    health.note_unreachable("a", "tema", 0.0)
     assert not is_suspect(health, "c", 0.1, "tema")
-    health.note_broken("b", "tema", 1.0)
+    health.note_unreachable("b", "tema", 1.0)
     assert is_suspect(health, "c", 1.1, "tema")
     assert not is_suspect(health, "c", 1.1, "achimota")
     health.note_success("c", "tema")
@@ -58,13 +58,13 @@
 
 def test_endpoints_that_fail_long_after_each_other_are_two_failures():
     health = healths.Health("osu")
-    health.note_broken("a", "tema", 0.0)
-    health.note_broken("b", "tema", 2.5)
+    health.note_unreachable("a", "tema", 0.0)
+    health.note_unreachable("b", "tema", 2.5)
     assert not is_suspect(health, "c", 2.6, "tema")
 
 
 def test_way_within_the_own_data_centre_is_never_broken():
     health = healths.Health("osu")
-    health.note_broken("a", "osu", 0.0)
-    health.note_broken("b", "osu", 0.1)
+    health.note_unreachable("a", "osu", 0.0)
+    health.note_unreachable("b", "osu", 0.1)
     assert not is_suspect(health, "c", 0.2, "osu")
--- a/rhubarblock/routing/lanes.py
+++ b/rhubarblock/routing/lanes.py
@@ -51,12 +51,12 @@
         return self._choose(request).predict_wait()
 
     @contextlib.asynccontextmanager
-    async def take_turn(
+    async def acquire(
         self, request: requests.PromptRequest, latest_start_s: float
-    ) -> AsyncIterator[fairqueue.Turn]:
-        """Waits in the lane of a request; see ``FairQueue.take_turn``."""
+    ) -> AsyncIterator[fairqueue.DispatchPermit]:
+        """Waits in the lane of a request; see ``FairQueue.acquire``."""
         queue = self._choose(request)
-        async with queue.take_turn(request, latest_start_s) as turn:
+        async with queue.acquire(request, latest_start_s) as turn:
             yield turn
 
     def _choose(self, request: requests.PromptRequest) -> fairqueue.FairQueue:
--- a/rhubarblock/routing/ledger.py
+++ b/rhubarblock/routing/ledger.py
@@ -11,7 +11,7 @@
 
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.kernel import timers as timer_service
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.routing.placement import policy as policies
 
@@ -47,7 +47,7 @@
         table: loadtable.LoadTable,
         policy: policies.Policy,
         timers: timer_service.Timers,
-        list_kept: KeptLister = keep_nothing,
+        list_reserved: KeptLister = keep_nothing,
     ):
         """Creates an empty ledger.
 
@@ -55,13 +55,13 @@
           table: beliefs about the engines.
           policy: placement policy.
           timers: timer service.
-          list_kept: gives, of the engines of a service, those that only
+          list_reserved: gives, of the engines of a service, those that only
             suspects may use at present.
         """
         self.table = table
         self._policy = policy
         self._timers = timers
-        self._list_kept = list_kept
+        self._list_kept = list_reserved
         self._entries: dict[str, _Entry] = {}
 
     def place(
--- a/rhubarblock/routing/lending/lender.py
+++ b/rhubarblock/routing/lending/lender.py
@@ -187,7 +187,7 @@
             self._settings.early_s, lambda: self._report_early(link)
         )
 
-    def find_duty(self, key: str) -> str:
+    def find_shard(self, key: str) -> str:
         """Returns the duty under which an entry is coordinated."""
         shard = zlib.crc32(key.encode()) % self._settings.shards
         return f"limits/{shard}"
@@ -251,7 +251,7 @@
         for key, entry_limits in limits.items():
             entry = self._find_entry(key)
             self._set_own(entry, entry_limits, holders)
-            coordinator = self._coordinator_for(self.find_duty(key))
+            coordinator = self._coordinator_for(self.find_shard(key))
             if coordinator is None:
                 entry.settle(None, now_s)
                 continue
--- a/rhubarblock/routing/placement/coordination.py
+++ b/rhubarblock/routing/placement/coordination.py
@@ -13,7 +13,7 @@
 from rhubarblock.fleet import peertransport
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.routing import ledger as ledgers
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import placement_pb2
 from rhubarblock.routing.placement import policy as policies
 
--- a/rhubarblock/routing/placement/coordination_test.py
+++ b/rhubarblock/routing/placement/coordination_test.py
@@ -9,8 +9,8 @@
 from rhubarblock.plugins import length_aware
 from rhubarblock.plugins import naive
 from rhubarblock.routing import ledger as ledgers
-from rhubarblock.routing.placement import answer as placements
 from rhubarblock.routing.placement import coordination
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable_test
 from rhubarblock.standins import memorypeers
 
--- a/rhubarblock/routing/placement/engineview.py
+++ b/rhubarblock/routing/placement/engineview.py
@@ -10,7 +10,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import lateness
 
 # Seconds until an engine that only reads turns to a new part: half of the
@@ -28,25 +28,25 @@
       now_s: the moment, in monotonic seconds.
     """
 
-    __slots__ = ("_book", "_finishes", "now_s")
+    __slots__ = ("_tracker", "_finishes", "now_s")
 
-    def __init__(self, book: enginebook.EngineBook, now_s: float):
+    def __init__(self, tracker: jobtracker.JobTracker, now_s: float):
         """Starts without having looked at any job."""
-        self._book = book
+        self._tracker = tracker
         self._finishes: dict[str, float] = {}
         self.now_s = now_s
 
-    def predict_finish(self, placed: enginebook.PlacedJob) -> float:
+    def predict_finish(self, placed: jobtracker.PlacedJob) -> float:
         """Returns the seconds until a job is read to its end."""
         job_id = placed.job.job_id
         finish_s = self._finishes.get(job_id)
         if finish_s is None:
-            finish_s = self._book.predict_finish(placed, self.now_s)
+            finish_s = self._tracker.predict_finish(placed, self.now_s)
             self._finishes[job_id] = finish_s
         return finish_s
 
     def weigh_later(
-        self, placed: enginebook.PlacedJob, finish_s: float
+        self, placed: jobtracker.PlacedJob, finish_s: float
     ) -> float:
         """Returns what it costs that a job is read to its end later.
 
@@ -89,7 +89,7 @@
     """
 
     endpoint: lists.ListedEndpoint
-    load: enginebook.EngineLoad
+    load: jobtracker.EngineLoad
     outlook: Outlook
     stride_s: float
     wait_s: float
@@ -100,25 +100,27 @@
     free_helps: int
     room: int
 
-    def predict_end(self, read_s: float) -> float:
+    def predict_end(self, prefill_s: float) -> float:
         """Returns the seconds until it has read a part that is placed now."""
         if self.writes:
-            return max(self.wait_s, self.stride_s / 2) + self.stride_s + read_s
-        return read_s + (TURN_S if self.wait_s else 0.0)
+            return (
+                max(self.wait_s, self.stride_s / 2) + self.stride_s + prefill_s
+            )
+        return prefill_s + (TURN_S if self.wait_s else 0.0)
 
-    def predict_pause(self, read_s: float, finish_s: float) -> float:
+    def predict_pause(self, prefill_s: float, finish_s: float) -> float:
         """Returns the first pause of an answer that is to be written here.
 
         Args:
-          read_s: seconds that its own part here takes.
+          prefill_s: seconds that its own part here takes.
           finish_s: seconds until all of its parts are read.
         """
         if self.writes:
             return self.stride_s
-        idle_s = max(0.0, finish_s - read_s)
+        idle_s = max(0.0, finish_s - prefill_s)
         return self.stride_s + max(0.0, self.wait_s - idle_s)
 
-    def weigh_pauses(self, read_s: float) -> float:
+    def weigh_pauses(self, prefill_s: float) -> float:
         """Returns what a part costs those whose answers are written here.
 
         Those that are predicted to be late already count as well: predictions
@@ -128,11 +130,11 @@
         calm_s = self.stride_s + self.joint_s
         for placed in self.load.jobs.values():
             if placed.writes:
-                before_s, after_s = calm_s, calm_s + read_s
+                before_s, after_s = calm_s, calm_s + prefill_s
             else:
                 finish_s = self.outlook.predict_finish(placed)
                 before_s = self.stride_s
-                after_s = before_s + max(0.0, read_s - finish_s)
+                after_s = before_s + max(0.0, prefill_s - finish_s)
             pause_s = placed.job.pause_s
             share = lateness.weigh_pause(after_s, pause_s)
             share -= lateness.weigh_pause(before_s, pause_s)
@@ -140,33 +142,33 @@
         return cost
 
     def list_delayed(
-        self, read_s: float
-    ) -> list[tuple[enginebook.PlacedJob, float]]:
+        self, prefill_s: float
+    ) -> list[tuple[jobtracker.PlacedJob, float]]:
         """Returns the jobs that a part goes before, and when they end then."""
         if self.writes:
             return []
         ends = []
-        end_s = read_s
-        for read in reversed(self.load.reads):
+        end_s = prefill_s
+        for read in reversed(self.load.prefills):
             end_s += read.left_s
             ends.append((read.placed, end_s))
         return ends
 
-    def weigh(self, read_s: float) -> float:
+    def weigh(self, prefill_s: float) -> float:
         """Returns what a part costs all who are here, in short prompts."""
-        return self.weigh_pauses(read_s) + weigh_delayed([self], read_s)
+        return self.weigh_pauses(prefill_s) + weigh_delayed([self], prefill_s)
 
 
-def weigh_delayed(parts: list[EngineView], read_s: float) -> float:
+def weigh_delayed(parts: list[EngineView], prefill_s: float) -> float:
     """Returns what parts cost the jobs that they go before, each one once.
 
     Args:
       parts: the engines that read one part each; at least one.
-      read_s: seconds that a part takes.
+      prefill_s: seconds that a part takes.
     """
-    ends: dict[str, tuple[enginebook.PlacedJob, float]] = {}
+    ends: dict[str, tuple[jobtracker.PlacedJob, float]] = {}
     for part in parts:
-        for placed, end_s in part.list_delayed(read_s):
+        for placed, end_s in part.list_delayed(prefill_s):
             job_id = placed.job.job_id
             if job_id not in ends or ends[job_id][1] < end_s:
                 ends[job_id] = (placed, end_s)
@@ -178,7 +180,7 @@
 
 def view_engine(
     endpoint: lists.ListedEndpoint,
-    load: enginebook.EngineLoad,
+    load: jobtracker.EngineLoad,
     outlook: Outlook,
     model: routes.EngineCostModel,
     data_centre: str,
@@ -188,7 +190,7 @@
     now_s = outlook.now_s
     joint_s = sum(
         read.left_s
-        for read in load.reads
+        for read in load.prefills
         if now_s - read.placed_s < SAME_PASS_S
     )
     return EngineView(
--- a/rhubarblock/routing/placement/enginebook.py
+++ b/rhubarblock/routing/placement/jobtracker.py
@@ -25,13 +25,13 @@
 
     Attributes:
       endpoint_id: the engine.
-      read_s: seconds of reading.
+      prefill_s: seconds of reading.
       tokens: memory that it holds until the prompt's end; 0 where another
         engine keeps what was read.
     """
 
     endpoint_id: str
-    read_s: float
+    prefill_s: float
     tokens: int = 0
 
 
@@ -67,21 +67,21 @@
     Attributes:
       job: what was placed.
       placed_s: when, in monotonic seconds.
-      reads: what is left of its reading, a line for each engine.
+      prefills: what is left of its reading, a line for each engine.
     """
 
-    __slots__ = ("job", "placed_s", "reads")
+    __slots__ = ("job", "placed_s", "prefills")
 
     def __init__(self, job: Job, placed_s: float):
         """Starts with all of its reading before it."""
         self.job = job
         self.placed_s = placed_s
-        self.reads = [Read(self, part, placed_s) for part in job.parts]
+        self.prefills = [Read(self, part, placed_s) for part in job.parts]
 
     @property
     def writes(self) -> bool:
         """Whether all of it is read, so that its answer is being written."""
-        return all(read.left_s <= 0.0 for read in self.reads)
+        return all(read.left_s <= 0.0 for read in self.prefills)
 
 
 class Read:
@@ -101,7 +101,7 @@
         """Starts unread."""
         self.placed = placed
         self.endpoint_id = part.endpoint_id
-        self.left_s = part.read_s
+        self.left_s = part.prefill_s
         self.tokens = part.tokens
         self.placed_s = placed_s
 
@@ -113,18 +113,18 @@
     its other reading. While it writes, all that waits is read in one pass.
 
     Attributes:
-      reads: reading that is left, the latest last.
+      prefills: reading that is left, the latest last.
       jobs: what it writes, or will write, by job id.
       helps: its part of what others write, by job id.
       tokens: tokens of memory in use.
     """
 
-    __slots__ = ("_settled_s", "helps", "jobs", "reads", "tokens")
+    __slots__ = ("_settled_s", "helps", "jobs", "prefills", "tokens")
 
     def __init__(self) -> None:
         self._settled_s = 0.0
         self.helps: dict[str, Read] = {}
-        self.reads: list[Read] = []
+        self.prefills: list[Read] = []
         self.jobs: dict[str, PlacedJob] = {}
         self.tokens = 0
 
@@ -143,13 +143,13 @@
         """Takes off what was read since the last time."""
         spent_s = max(0.0, now_s - self._settled_s)
         self._settled_s = max(now_s, self._settled_s)
-        while self.reads and spent_s > 0.0:
-            read = self.reads[-1]
+        while self.prefills and spent_s > 0.0:
+            read = self.prefills[-1]
             taken_s = min(spent_s, read.left_s)
             read.left_s -= taken_s
             spent_s -= taken_s
             if read.left_s <= 0.0:
-                self.reads.pop()
+                self.prefills.pop()
 
     def settle_from(self, load: "EngineLoad", now_s: float) -> None:
         """Settles reading that was copied from another load."""
@@ -159,7 +159,7 @@
     def predict_wait(self, now_s: float) -> float:
         """Returns the seconds of reading that lie before it."""
         self.settle(now_s)
-        return sum(read.left_s for read in self.reads)
+        return sum(read.left_s for read in self.prefills)
 
     def predict_stride(self, model: routes.EngineCostModel) -> float:
         """Returns the seconds of a pass that reads nothing."""
@@ -168,7 +168,7 @@
     def sum_newer(self, read: Read) -> float:
         """Returns the seconds of a read and of all that goes before it."""
         total_s = 0.0
-        for other in reversed(self.reads):
+        for other in reversed(self.prefills):
             total_s += other.left_s
             if other is read:
                 break
@@ -176,10 +176,12 @@
 
     def drop(self, placed: PlacedJob) -> None:
         """Forgets the reading of a job that ended."""
-        self.reads = [read for read in self.reads if read.placed is not placed]
+        self.prefills = [
+            read for read in self.prefills if read.placed is not placed
+        ]
 
 
-class EngineBook:
+class JobTracker:
     """Loads of all engines."""
 
     __slots__ = ("_ends", "_jobs", "_loads", "_watchers")
@@ -205,24 +207,24 @@
         self._jobs[job.job_id] = placed
         self._ends[job.job_id] = now_s + FORGET_S
         self.find(job.endpoint_id).jobs[job.job_id] = placed
-        for part, read in zip(job.parts, placed.reads, strict=True):
+        for part, read in zip(job.parts, placed.prefills, strict=True):
             load = self.find(part.endpoint_id)
             load.settle(now_s)
             load.tokens += part.tokens
-            load.reads.append(read)
+            load.prefills.append(read)
             if part.endpoint_id != job.endpoint_id:
                 load.helps[job.job_id] = read
         for part in job.parts:
             for callback in list(self._watchers.get(part.endpoint_id, ())):
                 callback()
 
-    def look_ahead(self, at_s: float) -> "EngineBook":
+    def look_ahead(self, at_s: float) -> "JobTracker":
         """Returns the book as it will be if nothing comes or ends until then.
 
         Args:
           at_s: a moment to come, in monotonic seconds.
         """
-        later = EngineBook()
+        later = JobTracker()
         for placed in self._jobs.values():
             later.copy_job(placed)
         for endpoint_id, load in self._loads.items():
@@ -233,11 +235,11 @@
         """Takes in a job of another book, without its reading."""
         job = placed.job
         copied = PlacedJob(job, placed.placed_s)
-        for read in copied.reads:
+        for read in copied.prefills:
             read.left_s = 0.0
         self._jobs[job.job_id] = copied
         self.find(job.endpoint_id).jobs[job.job_id] = copied
-        for read in copied.reads[1:]:
+        for read in copied.prefills[1:]:
             self.find(read.endpoint_id).helps[job.job_id] = read
 
     def copy_reads(
@@ -246,18 +248,18 @@
         """Takes in what an engine of another book will still have to read."""
         copied = self.find(endpoint_id)
         copied.tokens = load.tokens
-        for read in load.reads:
+        for read in load.prefills:
             placed = self._jobs[read.placed.job.job_id]
-            for own in placed.reads:
+            for own in placed.prefills:
                 if own.endpoint_id == endpoint_id:
                     own.left_s = read.left_s
-                    copied.reads.append(own)
+                    copied.prefills.append(own)
         copied.settle_from(load, at_s)
 
     def predict_finish(self, placed: PlacedJob, now_s: float) -> float:
         """Returns the seconds until a job is read to its end."""
         return max(
-            (self._predict_end(read, now_s) for read in placed.reads),
+            (self._predict_end(read, now_s) for read in placed.prefills),
             default=0.0,
         )
 
@@ -299,7 +301,7 @@
             return
         del self._ends[job_id]
         self.find(placed.job.endpoint_id).jobs.pop(job_id, None)
-        for read in placed.reads:
+        for read in placed.prefills:
             load = self.find(read.endpoint_id)
             load.tokens -= read.tokens
             load.helps.pop(job_id, None)
@@ -326,7 +328,7 @@
         for job_id in list(load.jobs):
             self.remove(job_id)
         for placed in self._jobs.values():
-            for read in placed.reads:
+            for read in placed.prefills:
                 if read.endpoint_id == endpoint_id:
                     read.left_s = 0.0
                     read.tokens = 0
--- /dev/null
+++ b/rhubarblock/routing/placement/jobtracker_test.py
@@ -0,0 +1,174 @@
+import hypothesis
+from hypothesis import strategies
+
+from rhubarblock.routing.placement import jobtracker
+
+JOB = jobtracker.Job(
+    "j1",
+    (jobtracker.Part("a", 0.2, 5_000), jobtracker.Part("b", 0.2)),
+    0.2,
+)
+
+
+def test_parts_keep_their_engines_busy_one_after_the_other():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 10.0)
+    tracker.add(jobtracker.Job("j2", (jobtracker.Part("b", 0.5),), 0.0), 10.1)
+    assert round(tracker.find("a").predict_wait(10.1), 3) == 0.1
+    assert round(tracker.find("b").predict_wait(10.1), 3) == 0.6
+    assert round(tracker.find("b").predict_wait(10.6), 3) == 0.1
+    assert tracker.find("b").predict_wait(11.0) == 0.0
+    # A clock that is read late takes nothing back.
+    assert tracker.find("b").predict_wait(10.0) == 0.0
+
+
+def test_only_the_first_engine_writes():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 0.0)
+    assert list(tracker.find("a").jobs) == ["j1"]
+    assert not tracker.find("b").jobs
+    assert not tracker.find("a").writes
+    tracker.find("a").settle(0.2)
+    tracker.find("b").settle(0.2)
+    assert tracker.find("a").writes
+    assert not tracker.find("b").writes
+
+
+def test_memory_is_free_again_after_the_end():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 0.0)
+    assert tracker.find("a").tokens == 5_000
+    tracker.remove("j1")
+    tracker.remove("j1")
+    assert tracker.find("a").tokens == 0
+    assert not tracker.find("a").jobs
+
+
+def test_job_that_is_told_twice_counts_once():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 0.0)
+    tracker.add(JOB, 0.1)
+    assert tracker.find("a").tokens == 5_000
+    assert round(tracker.find("a").predict_wait(0.0), 3) == 0.2
+
+
+def test_job_whose_end_nobody_told_is_forgotten():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 0.0)
+    tracker.expire(29.9)
+    assert tracker.find("a").jobs
+    tracker.expire(30.0)
+    assert not tracker.find("a").jobs
+
+
+def test_watcher_hears_of_each_part_at_its_engine():
+    tracker = jobtracker.JobTracker()
+    heard = []
+    with tracker.watch("b", lambda: heard.append("b")):
+        tracker.add(JOB, 0.0)
+        tracker.add(
+            jobtracker.Job("j2", (jobtracker.Part("c", 1.0),), 0.0), 0.0
+        )
+    tracker.add(jobtracker.Job("j3", (jobtracker.Part("b", 1.0),), 0.0), 0.0)
+    assert heard == ["b"]
+
+
+def test_engines_that_left_are_forgotten_unless_something_runs_there():
+    tracker = jobtracker.JobTracker()
+    tracker.add(JOB, 0.0)
+    tracker.keep_only(["c"])
+    assert tracker.find("a").jobs
+    tracker.remove("j1")
+    tracker.keep_only(["c"])
+    assert tracker.find("a").predict_wait(0.0) == 0.0
+
+
+def add_job(tracker, job_id, prefill_s, names, now_s, pause_s=0.8):
+    parts = tuple(jobtracker.Part(name, prefill_s) for name in names)
+    tracker.add(jobtracker.Job(job_id, parts, pause_s, 1_000, 3.0), now_s)
+    return tracker.find(names[0]).jobs[job_id]
+
+
+def test_what_comes_last_is_read_first():
+    tracker = jobtracker.JobTracker()
+    old = add_job(tracker, "old", 1.0, ["a", "b"], 0.0)
+    new = add_job(tracker, "new", 0.25, ["a"], 0.5)
+    assert tracker.predict_finish(new, 0.5) == 0.25
+    # Half of the old one is left, behind the new one.
+    assert tracker.predict_finish(old, 0.5) == 0.75
+    assert tracker.predict_finish(old, 0.75) == 0.5
+    assert new.writes
+    assert not old.writes
+
+
+def test_engine_that_writes_reads_all_that_waits_in_one_pass():
+    tracker = jobtracker.JobTracker()
+    add_job(tracker, "writer", 0.1, ["a"], 0.0)
+    add_job(tracker, "old", 1.0, ["b", "a"], 0.2)
+    new = add_job(tracker, "new", 0.25, ["c", "a"], 0.2)
+    assert tracker.find("a").writes
+    assert tracker.predict_finish(new, 0.2) == 1.25
+
+
+def test_end_of_a_job_gives_back_the_time_that_it_would_have_taken():
+    tracker = jobtracker.JobTracker()
+    old = add_job(tracker, "old", 1.0, ["a"], 0.0)
+    add_job(tracker, "new", 2.0, ["b", "a"], 0.0)
+    assert tracker.predict_finish(old, 0.0) == 3.0
+    tracker.remove("new")
+    assert tracker.predict_finish(old, 0.0) == 1.0
+    assert tracker.find("b").predict_wait(0.0) == 0.0
+
+
+def test_engine_that_started_anew_holds_nothing_of_before():
+    tracker = jobtracker.JobTracker()
+    part = jobtracker.Part("a", 1.0, 5_000)
+    tracker.add(jobtracker.Job("own", (part,), 0.2), 0.0)
+    parts = (jobtracker.Part("b", 1.0, 700), jobtracker.Part("a", 1.0, 900))
+    tracker.add(jobtracker.Job("helped", parts, 0.8), 0.0)
+    tracker.remove_engine("a")
+    assert tracker.find("a").tokens == 0
+    assert not tracker.find("a").jobs
+    assert tracker.find("a").predict_wait(0.0) == 0.0
+    assert tracker.find("b").tokens == 700
+    tracker.remove("own")
+    tracker.remove("helped")
+    assert tracker.find("a").tokens == 0
+    assert tracker.find("b").tokens == 0
+
+
+NAMES = ("a", "b", "c")
+STEPS = strategies.tuples(
+    strategies.sampled_from(["add", "end", "restart", "keep", "source"]),
+    strategies.integers(0, 3),
+    strategies.sets(strategies.sampled_from(NAMES), min_size=1),
+    strategies.floats(0.0, 2.0),
+)
+
+
+@hypothesis.given(strategies.lists(STEPS, max_size=12))
+def test_book_holds_whatever_comes_in_any_order(steps):
+    tracker = jobtracker.JobTracker()
+    now_s = 0.0
+    for verb, number, names, span_s in steps:
+        now_s += span_s / 2
+        job_id = f"i{number % 2}.s.{number}"
+        if verb == "add":
+            parts = tuple(jobtracker.Part(n, span_s, 10) for n in sorted(names))
+            tracker.add(jobtracker.Job(job_id, parts, 0.2), now_s)
+        elif verb == "end":
+            tracker.remove(job_id)
+        elif verb == "restart":
+            tracker.remove_engine(min(names))
+        elif verb == "keep":
+            tracker.keep_only(names)
+        else:
+            tracker.remove_source(job_id.rpartition(".")[0])
+        later = tracker.look_ahead(now_s + 0.5)
+        for name in NAMES:
+            now_wait_s = tracker.find(name).predict_wait(now_s)
+            assert tracker.find(name).tokens >= 0
+            assert later.find(name).predict_wait(now_s + 0.5) >= 0.0
+            assert later.find(name).predict_wait(now_s + 0.5) <= now_wait_s
+            for placed in tracker.find(name).jobs.values():
+                assert tracker.predict_finish(placed, now_s) >= 0.0
--- a/rhubarblock/routing/placement/loadtable_test.py
+++ b/rhubarblock/routing/placement/loadtable_test.py
@@ -9,7 +9,7 @@
 from rhubarblock.kernel import virtualloop
 from rhubarblock.plugins import length_aware
 from rhubarblock.routing import ledger as ledgers
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 
 _RATE = loadtable.PRIOR_PREFILL_RATE
--- a/rhubarblock/routing/placement/parting.py
+++ b/rhubarblock/routing/placement/parting.py
@@ -10,7 +10,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import partplan
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import promptpolicy
@@ -47,24 +47,24 @@
         now_s: float,
     ) -> prompts.Choice | None:
         plan = partplan.choose_plan(
-            self._book, self._data_centre, prompt, engines, model, now_s
+            self._tracker, self._data_centre, prompt, engines, model, now_s
         )
         return _make_choice(prompt, plan) if plan else None
 
-    def may_wait(
+    def may_defer(
         self, prompt: prompts.Prompt, model: routes.EngineCostModel
     ) -> bool:
         """Says whether a prompt is long, not begun, and has time left.
 
         Most are not, and need no look at any engine.
         """
-        if prompt.hurried:
+        if prompt.is_mid_stream:
             return False
         if model.predict_prefill(prompt.prompt_tokens) < LATER_FROM_READ_S:
             return False
         return prompt.waited_s <= LATER_PART * prompt.objective_s
 
-    def predict_start(
+    def find_start_delay(
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
@@ -76,10 +76,10 @@
         Answers a burst of long prompts: one that begins while engines read for
         another delays both, and those who write there pause twice.
         """
-        if not self.may_wait(prompt, model):
+        if not self.may_defer(prompt, model):
             return 0.0
         plan = partplan.choose_plan(
-            self._book, self._data_centre, prompt, engines, model, now_s
+            self._tracker, self._data_centre, prompt, engines, model, now_s
         )
         if plan is None or plan.cost < LATER_FROM_COST:
             return 0.0
@@ -104,7 +104,7 @@
         waited = dataclasses.replace(prompt, waited_s=prompt.waited_s + later_s)
         at_s = now_s + later_s
         return partplan.choose_plan(
-            self._book.look_ahead(at_s),
+            self._tracker.look_ahead(at_s),
             self._data_centre,
             waited,
             engines,
@@ -116,10 +116,10 @@
 def _make_choice(prompt: prompts.Prompt, plan: partplan.Plan) -> prompts.Choice:
     """Returns a plan as what the book, the peers and the relay are told."""
     parts = tuple(
-        enginebook.Part(part.endpoint.endpoint_id, plan.read_s, tokens)
+        jobtracker.Part(part.endpoint.endpoint_id, plan.prefill_s, tokens)
         for part, tokens in zip(plan.parts, plan.tokens, strict=True)
     )
-    job = enginebook.Job(
+    job = jobtracker.Job(
         prompt.job_id,
         parts,
         prompt.pause_s,
--- a/rhubarblock/routing/placement/parting_test.py
+++ b/rhubarblock/routing/placement/parting_test.py
@@ -6,7 +6,7 @@
 
 from rhubarblock.core import listed
 from rhubarblock.exchange import fakeparts_test as fakes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import partplan
 from rhubarblock.routing.placement import prompt as prompts
@@ -23,8 +23,10 @@
     ]
 
 
-def make_prompt(tokens, pause_s=0.2, objective_s=0.3, hurried=False):
-    return prompts.Prompt("new", tokens, 1_600, pause_s, objective_s, hurried)
+def make_prompt(tokens, pause_s=0.2, objective_s=0.3, is_mid_stream=False):
+    return prompts.Prompt(
+        "new", tokens, 1_600, pause_s, objective_s, is_mid_stream
+    )
 
 
 DRAFT = make_prompt(5_000)
@@ -33,16 +35,16 @@
 
 def make_book(**writers):
     """Returns a book in which engines write for so many short prompts."""
-    book = enginebook.EngineBook()
+    tracker = jobtracker.JobTracker()
     for name, count in writers.items():
         for number in range(count):
-            part = enginebook.Part(name, 0.0, 5_000)
-            book.add(enginebook.Job(f"{name}{number}", (part,), 0.2), 0.0)
-    return book
+            part = jobtracker.Part(name, 0.0, 5_000)
+            tracker.add(jobtracker.Job(f"{name}{number}", (part,), 0.2), 0.0)
+    return tracker
 
 
-def choose(book, prompt, engines, now_s=0.0):
-    return parting.Parter(book, "osu").choose(prompt, engines, MODEL, now_s)
+def choose(tracker, prompt, engines, now_s=0.0):
+    return parting.Parter(tracker, "osu").choose(prompt, engines, MODEL, now_s)
 
 
 def names(choice):
@@ -50,8 +52,8 @@
 
 
 def test_short_prompts_are_packed():
-    book = make_book(e03=2)
-    assert names(choose(book, DRAFT, make_engines(8))) == ["e03"]
+    tracker = make_book(e03=2)
+    assert names(choose(tracker, DRAFT, make_engines(8))) == ["e03"]
 
 
 def make_far(engines, *numbers):
@@ -65,47 +67,47 @@
 
 def test_short_prompt_stays_in_its_data_centre():
     engines = make_far(make_engines(4), 0, 1)
-    book = make_book(e00=3, e03=1)
-    assert names(choose(book, DRAFT, engines)) == ["e03"]
+    tracker = make_book(e00=3, e03=1)
+    assert names(choose(tracker, DRAFT, engines)) == ["e03"]
 
 
 def test_short_prompt_goes_far_when_near_engines_are_full():
     engines = make_far(make_engines(3), 0)
-    book = make_book(e00=3, e01=8, e02=8)
-    assert names(choose(book, DRAFT, engines)) == ["e00"]
+    tracker = make_book(e00=3, e01=8, e02=8)
+    assert names(choose(tracker, DRAFT, engines)) == ["e00"]
 
 
 def test_next_engine_is_opened_when_one_is_full():
-    book = make_book(e03=8)
-    assert names(choose(book, DRAFT, make_engines(5)[3:])) == ["e04"]
+    tracker = make_book(e03=8)
+    assert names(choose(tracker, DRAFT, make_engines(5)[3:])) == ["e04"]
 
 
 def test_last_slot_is_left_for_what_others_place_at_the_same_moment():
-    book = make_book(e03=7)
-    assert names(choose(book, DRAFT, make_engines(5)[3:])) == ["e04"]
-    book = make_book(e03=7, e04=8)
-    assert names(choose(book, DRAFT, make_engines(5)[3:])) == ["e03"]
+    tracker = make_book(e03=7)
+    assert names(choose(tracker, DRAFT, make_engines(5)[3:])) == ["e04"]
+    tracker = make_book(e03=7, e04=8)
+    assert names(choose(tracker, DRAFT, make_engines(5)[3:])) == ["e03"]
 
 
 def test_prompts_of_one_moment_spread_over_engines_with_few_slots():
-    book = make_book(e00=5, e01=6, e02=5, e03=4)
+    tracker = make_book(e00=5, e01=6, e02=5, e03=4)
     prompts_ = [dataclasses.replace(DRAFT, job_id=f"j{n}") for n in range(40)]
-    chosen = {names(choose(book, p, make_engines(5)))[0] for p in prompts_}
+    chosen = {names(choose(tracker, p, make_engines(5)))[0] for p in prompts_}
     assert chosen == {"e00", "e01", "e02"}
 
 
 def test_short_prompt_does_not_wait_for_long_reading():
-    book = make_book(e03=2)
-    long = enginebook.Job("long", (enginebook.Part("e03", 1.0),), 0.8)
-    book.add(long, 0.0)
-    choice = choose(book, DRAFT, make_engines(5)[3:])
+    tracker = make_book(e03=2)
+    long = jobtracker.Job("long", (jobtracker.Part("e03", 1.0),), 0.8)
+    tracker.add(long, 0.0)
+    choice = choose(tracker, DRAFT, make_engines(5)[3:])
     assert names(choice) == ["e04"]
     assert choice.expected_s < 0.15
 
 
 def test_long_prompt_is_read_where_nobody_writes():
-    book = make_book(e00=6, e01=6, e02=6)
-    choice = choose(book, CASE_FILE, make_engines(14))
+    tracker = make_book(e00=6, e01=6, e02=6)
+    choice = choose(tracker, CASE_FILE, make_engines(14))
     assert not {"e00", "e01", "e02"} & set(names(choice))
     assert len(choice.engines) > 1
     assert choice.expected_s < 0.75 * 3.0
@@ -122,7 +124,7 @@
     middle = make_prompt(110_000, 0.5, 1.5)
     writers = {f"e{n:02d}": 3 for n in range(23)}
     choice = choose(make_book(**writers), middle, make_engines(23))
-    longest_pass_s = choice.job.parts[0].read_s + 0.06
+    longest_pass_s = choice.job.parts[0].prefill_s + 0.06
     assert len(choice.engines) >= 8
     assert longest_pass_s < 0.2
 
@@ -155,33 +157,33 @@
 
 
 def test_memory_in_use_is_not_given_out_again():
-    book = enginebook.EngineBook()
-    part = enginebook.Part("e00", 0.0, 300_000)
-    book.add(enginebook.Job("held", (part,), 0.8), 0.0)
-    choice = choose(book, CASE_FILE, make_engines(2))
+    tracker = jobtracker.JobTracker()
+    part = jobtracker.Part("e00", 0.0, 300_000)
+    tracker.add(jobtracker.Job("held", (part,), 0.8), 0.0)
+    choice = choose(tracker, CASE_FILE, make_engines(2))
     assert choice.job.endpoint_id == "e01"
 
 
 def test_engine_without_a_slot_writes_for_nobody_else():
-    book = make_book(e00=8)
-    assert names(choose(book, DRAFT, make_engines(2))) == ["e01"]
-    assert choose(book, DRAFT, make_engines(1)) is None
+    tracker = make_book(e00=8)
+    assert names(choose(tracker, DRAFT, make_engines(2))) == ["e01"]
+    assert choose(tracker, DRAFT, make_engines(1)) is None
 
 
 def test_stream_that_moves_goes_where_it_begins_soonest():
-    book = make_book(e00=5)
-    parts = (enginebook.Part("e02", 0.04), enginebook.Part("e00", 0.04))
-    book.add(enginebook.Job("r", parts, 0.2), 0.0)
-    assert names(choose(book, DRAFT, make_engines(3))) == ["e00"]
-    moved = make_prompt(5_000, hurried=True)
-    assert names(choose(book, moved, make_engines(3))) == ["e01"]
+    tracker = make_book(e00=5)
+    parts = (jobtracker.Part("e02", 0.04), jobtracker.Part("e00", 0.04))
+    tracker.add(jobtracker.Job("r", parts, 0.2), 0.0)
+    assert names(choose(tracker, DRAFT, make_engines(3))) == ["e00"]
+    moved = make_prompt(5_000, is_mid_stream=True)
+    assert names(choose(tracker, moved, make_engines(3))) == ["e01"]
 
 
 def test_streams_that_move_at_once_do_not_all_go_to_one_engine():
     chosen = set()
     for number in range(12):
         moved = dataclasses.replace(
-            make_prompt(5_000, hurried=True), job_id=f"i.{number}"
+            make_prompt(5_000, is_mid_stream=True), job_id=f"i.{number}"
         )
         chosen.update(names(choose(make_book(), moved, make_engines(6))))
     assert len(chosen) >= 4
@@ -195,19 +197,19 @@
     assert not {f"e{n:02d}" for n in range(8)} & set(names(choice))
 
 
-def predict_start(book, prompt, engines, now_s=0.0):
-    policy = parting.Parter(book, "osu")
-    return policy.predict_start(prompt, engines, MODEL, now_s)
+def find_start_delay(tracker, prompt, engines, now_s=0.0):
+    policy = parting.Parter(tracker, "osu")
+    return policy.find_start_delay(prompt, engines, MODEL, now_s)
 
 
-def make_reading_book(engines, read_s, tokens=210_000, objective_s=1.0):
+def make_reading_book(engines, prefill_s, tokens=210_000, objective_s=1.0):
     """Returns a book in which every engine reads for one prompt of its own."""
-    book = enginebook.EngineBook()
+    tracker = jobtracker.JobTracker()
     for number, engine in enumerate(engines):
-        part = enginebook.Part(engine.endpoint_id, read_s)
-        job = enginebook.Job(f"r{number}", (part,), 0.8, tokens, objective_s)
-        book.add(job, 0.0)
-    return book
+        part = jobtracker.Part(engine.endpoint_id, prefill_s)
+        job = jobtracker.Job(f"r{number}", (part,), 0.8, tokens, objective_s)
+        tracker.add(job, 0.0)
+    return tracker
 
 
 GIANT = make_prompt(640_000, 0.8, 3.0)
@@ -215,76 +217,76 @@
 
 def test_giant_begins_when_what_is_being_read_is_read():
     engines = make_engines(12)
-    book = make_reading_book(engines, 0.45)
-    assert 0.2 <= predict_start(book, GIANT, engines) <= 1.0
-    assert predict_start(book, GIANT, engines, now_s=0.5) == 0.0
+    tracker = make_reading_book(engines, 0.45)
+    assert 0.2 <= find_start_delay(tracker, GIANT, engines) <= 1.0
+    assert find_start_delay(tracker, GIANT, engines, now_s=0.5) == 0.0
 
 
 def test_prompt_begins_at_once_where_it_harms_nobody():
     engines = make_engines(12)
-    assert predict_start(make_book(), GIANT, engines) == 0.0
-    book = make_reading_book(engines[:2], 0.45)
-    assert predict_start(book, CASE_FILE, engines) == 0.0
+    assert find_start_delay(make_book(), GIANT, engines) == 0.0
+    tracker = make_reading_book(engines[:2], 0.45)
+    assert find_start_delay(tracker, CASE_FILE, engines) == 0.0
 
 
 def test_short_prompt_never_waits():
     engines = make_engines(2)
-    book = make_reading_book(engines, 2.0)
-    assert predict_start(book, DRAFT, engines) == 0.0
+    tracker = make_reading_book(engines, 2.0)
+    assert find_start_delay(tracker, DRAFT, engines) == 0.0
 
 
 def test_prompt_that_waited_for_long_begins():
     engines = make_engines(12)
-    book = make_reading_book(engines, 0.45)
+    tracker = make_reading_book(engines, 0.45)
     waited = dataclasses.replace(GIANT, waited_s=1.9)
-    assert predict_start(book, waited, engines) == 0.0
+    assert find_start_delay(tracker, waited, engines) == 0.0
 
 
 def test_looking_ahead_changes_nothing():
     engines = make_engines(3)
-    book = make_reading_book(engines, 2.0)
-    later = book.look_ahead(0.5)
+    tracker = make_reading_book(engines, 2.0)
+    later = tracker.look_ahead(0.5)
     assert later.find("e00").predict_wait(0.5) == 1.5
-    assert book.find("e00").predict_wait(0.25) == 1.75
+    assert tracker.find("e00").predict_wait(0.25) == 1.75
     assert len(later.find("e00").jobs) == 1
 
 
-def make_helping(book, name, count):
+def make_helping(tracker, name, count):
     """Lets an engine read parts for so many others."""
     for number in range(count):
         parts = (
-            enginebook.Part(f"w{number}", 1.0, 5_000),
-            enginebook.Part(name, 1.0),
+            jobtracker.Part(f"w{number}", 1.0, 5_000),
+            jobtracker.Part(name, 1.0),
         )
-        book.add(enginebook.Job(f"{name}h{number}", parts, 0.8), 0.0)
+        tracker.add(jobtracker.Job(f"{name}h{number}", parts, 0.8), 0.0)
 
 
 def test_engine_that_helps_many_is_asked_for_no_further_part():
     # Idle but for the parts that it reads: what long prompts like best.
     engines = make_engines(5)
-    book = make_book(e01=3, e02=3, e03=3, e04=3)
-    make_helping(book, "e00", MODEL.slots - 1)
-    assert "e00" not in names(choose(book, CASE_FILE, engines))[1:]
+    tracker = make_book(e01=3, e02=3, e03=3, e04=3)
+    make_helping(tracker, "e00", MODEL.slots - 1)
+    assert "e00" not in names(choose(tracker, CASE_FILE, engines))[1:]
     # Parts that are read are helped with no more.
-    assert "e00" in names(choose(book, CASE_FILE, engines, now_s=20.0))
+    assert "e00" in names(choose(tracker, CASE_FILE, engines, now_s=20.0))
 
 
 def test_long_prompt_takes_fewer_parts_where_most_engines_help_many():
     engines = make_engines(6)
-    book = make_book()
+    tracker = make_book()
     for number in range(1, 5):
-        make_helping(book, f"e{number:02d}", MODEL.slots)
-    assert len(names(choose(book, CASE_FILE, engines))) <= 2
+        make_helping(tracker, f"e{number:02d}", MODEL.slots)
+    assert len(names(choose(tracker, CASE_FILE, engines))) <= 2
 
 
 def test_engine_that_holds_memory_for_another_helps_until_that_ends():
-    book = make_book()
-    parts = (enginebook.Part("e00", 0.1, 5_000), enginebook.Part("e01", 0.1, 9))
-    book.add(enginebook.Job("holder", parts, 0.8), 0.0)
-    book.find("e01").settle(5.0)
-    during = book.find("e01").count_helped()
-    book.remove("holder")
-    assert (during, book.find("e01").count_helped()) == (1, 0)
+    tracker = make_book()
+    parts = (jobtracker.Part("e00", 0.1, 5_000), jobtracker.Part("e01", 0.1, 9))
+    tracker.add(jobtracker.Job("holder", parts, 0.8), 0.0)
+    tracker.find("e01").settle(5.0)
+    during = tracker.find("e01").count_helped()
+    tracker.remove("holder")
+    assert (during, tracker.find("e01").count_helped()) == (1, 0)
 
 
 @pytest.mark.parametrize("scale", [0.25, 0.5, 1.0, 2.0, 4.0])
@@ -295,11 +297,11 @@
         MODEL, kv_capacity_tokens=int(scale * MODEL.kv_capacity_tokens)
     )
     engines = make_engines(4)
-    book = make_book()
-    parter = parting.Parter(book, "osu")
+    tracker = make_book()
+    parter = parting.Parter(tracker, "osu")
     giant = make_prompt(tokens, 0.8, 30.0)
     first = parter.choose(giant, engines, model, 0.0)
-    book.add(first.job, 0.0)
+    tracker.add(first.job, 0.0)
     second = parter.choose(
         dataclasses.replace(giant, job_id="second"), engines, model, 0.0
     )
--- a/rhubarblock/routing/placement/partplan.py
+++ b/rhubarblock/routing/placement/partplan.py
@@ -12,8 +12,8 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import enginebook
 from rhubarblock.routing.placement import engineview
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import lateness
 from rhubarblock.routing.placement import prompt as prompts
 
@@ -54,7 +54,7 @@
       cost: what that costs its caller and all others, in short prompts.
       parts: the engines, the first of which also writes the answer.
       tokens: memory that each of them holds.
-      read_s: seconds that each of them reads.
+      prefill_s: seconds that each of them reads.
       expected_s: seconds until the first event.
       pause_s: seconds between that and the next one.
     """
@@ -62,13 +62,13 @@
     cost: float
     parts: list[engineview.EngineView]
     tokens: list[int]
-    read_s: float
+    prefill_s: float
     expected_s: float
     pause_s: float
 
 
 def choose_plan(
-    book: enginebook.EngineBook,
+    tracker: jobtracker.JobTracker,
     data_centre: str,
     prompt: prompts.Prompt,
     engines: list[lists.ListedEndpoint],
@@ -78,7 +78,7 @@
     """Returns the plan that costs least, or None if no engine has room.
 
     Args:
-      book: what each engine has before it.
+      tracker: what each engine has before it.
       data_centre: where the instance runs; streams within it outlast a cut
         between data centres.
       prompt: what is to be placed.
@@ -86,9 +86,9 @@
       model: what their steps cost.
       now_s: the moment of the placement, in monotonic seconds.
     """
-    look = _Look(book, data_centre, prompt, engines, model, now_s)
+    look = _Look(tracker, data_centre, prompt, engines, model, now_s)
     counts = _list_counts(prompt, model, len(engines))
-    if counts == [1] and not prompt.hurried:
+    if counts == [1] and not prompt.is_mid_stream:
         return look.plan_short()
     views = [look.view(engine) for engine in engines]
     plans = [_Draft(prompt, views, model, n).plan() for n in counts]
@@ -111,7 +111,7 @@
 
     def __init__(
         self,
-        book: enginebook.EngineBook,
+        tracker: jobtracker.JobTracker,
         data_centre: str,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
@@ -123,8 +123,10 @@
         self._prompt = prompt
         self._engines = engines
         self._model = model
-        self._outlook = engineview.Outlook(book, now_s)
-        self._loads = {e.endpoint_id: book.find(e.endpoint_id) for e in engines}
+        self._outlook = engineview.Outlook(tracker, now_s)
+        self._loads = {
+            e.endpoint_id: tracker.find(e.endpoint_id) for e in engines
+        }
         # All are settled first, as a view looks at jobs that span several.
         for load in self._loads.values():
             load.settle(now_s)
@@ -213,13 +215,13 @@
         tokens = _share_memory(parts, self._needed, self._most_held)
         if tokens is None:
             return None
-        read_s = self._read_s
-        expected_s = max(part.predict_end(read_s) for part in parts)
-        pause_s = first.predict_pause(read_s, expected_s)
+        prefill_s = self._read_s
+        expected_s = max(part.predict_end(prefill_s) for part in parts)
+        pause_s = first.predict_pause(prefill_s, expected_s)
         cost = self._weigh_own(expected_s, pause_s)
-        cost += sum(part.weigh_pauses(read_s) for part in parts)
-        cost += engineview.weigh_delayed(parts, read_s)
-        return Plan(cost, parts, tokens, read_s, expected_s, pause_s)
+        cost += sum(part.weigh_pauses(prefill_s) for part in parts)
+        cost += engineview.weigh_delayed(parts, prefill_s)
+        return Plan(cost, parts, tokens, prefill_s, expected_s, pause_s)
 
     def _choose_first(self) -> engineview.EngineView | None:
         """Returns the engine that writes the answer, None if none has a slot.
@@ -250,7 +252,7 @@
 
     def _rank_first(self, view: engineview.EngineView) -> tuple[object, ...]:
         harm = self._find_harm(view)
-        if self._prompt.hurried:
+        if self._prompt.is_mid_stream:
             job_id = self._prompt.job_id
             return _rank_hurried(view, harm, self._read_s, job_id)
         end_s = view.predict_end(self._read_s)
@@ -363,15 +365,15 @@
 
 
 def _rank_hurried(
-    view: engineview.EngineView, cost: float, read_s: float, job_id: str
+    view: engineview.EngineView, cost: float, prefill_s: float, job_id: str
 ) -> tuple[object, ...]:
     """Prefers engines that go on soonest, and spreads those that are alike.
 
     Many streams leave an engine at the same moment and from several instances,
     which know nothing of each other's choices yet.
     """
-    end_s = view.predict_end(read_s)
-    pause_s = view.predict_pause(read_s, end_s)
+    end_s = view.predict_end(prefill_s)
+    pause_s = view.predict_pause(prefill_s, end_s)
     lasts_s = max(end_s, pause_s) + FAR_S * view.is_far
     return (
         int(cost / COST_STEP),
--- a/rhubarblock/routing/placement/partplan_test.py
+++ b/rhubarblock/routing/placement/partplan_test.py
@@ -6,8 +6,8 @@
 
 from rhubarblock.core import listed
 from rhubarblock.exchange import fakeparts_test as fakes
-from rhubarblock.routing.placement import enginebook
 from rhubarblock.routing.placement import engineview
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import partplan
 from rhubarblock.routing.placement import prompt as prompts
 
@@ -22,30 +22,30 @@
 
 def draw_book(rng):
     """Returns a book of engines that write and read by chance."""
-    book = enginebook.EngineBook()
+    tracker = jobtracker.JobTracker()
     for engine in ENGINES:
         for number in range(rng.choice((0, 1, 5, 6, 7, 8, 9))):
-            part = enginebook.Part(
+            part = jobtracker.Part(
                 engine.endpoint_id, 0.0, rng.choice((5_000, 50_000))
             )
             job_id = f"{engine.endpoint_id}.{number}"
-            book.add(enginebook.Job(job_id, (part,), 0.2, 5_000, 0.3), 0.0)
+            tracker.add(jobtracker.Job(job_id, (part,), 0.2, 5_000, 0.3), 0.0)
         if rng.random() < 0.5:
-            part = enginebook.Part(engine.endpoint_id, rng.uniform(0.0, 0.5))
+            part = jobtracker.Part(engine.endpoint_id, rng.uniform(0.0, 0.5))
             job_id = f"{engine.endpoint_id}.long"
-            book.add(enginebook.Job(job_id, (part,), 0.8, 90_000, 3.0), 0.0)
-    return book
+            tracker.add(jobtracker.Job(job_id, (part,), 0.8, 90_000, 3.0), 0.0)
+    return tracker
 
 
-def plan_by_all(book, prompt, now_s):
+def plan_by_all(tracker, prompt, now_s):
     """Returns the plan that a look at every engine prefers."""
-    outlook = engineview.Outlook(book, now_s)
+    outlook = engineview.Outlook(tracker, now_s)
     for engine in ENGINES:
-        book.find(engine.endpoint_id).settle(now_s)
+        tracker.find(engine.endpoint_id).settle(now_s)
     views = [
         engineview.view_engine(
             engine,
-            book.find(engine.endpoint_id),
+            tracker.find(engine.endpoint_id),
             outlook,
             MODEL,
             "osu",
@@ -58,10 +58,10 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_quick_choice_is_that_of_a_look_at_all(seed):
-    book = draw_book(random.Random(seed))
+    tracker = draw_book(random.Random(seed))
     prompt = prompts.Prompt(f"j{seed}", 6_000, 1_600, 0.2, 0.3, False)
-    all_plan = plan_by_all(book, prompt, 0.05)
-    plan = partplan.choose_plan(book, "osu", prompt, ENGINES, MODEL, 0.05)
+    all_plan = plan_by_all(tracker, prompt, 0.05)
+    plan = partplan.choose_plan(tracker, "osu", prompt, ENGINES, MODEL, 0.05)
     if all_plan is None:
         assert plan is None
         return
--- a/rhubarblock/routing/placement/policy.py
+++ b/rhubarblock/routing/placement/policy.py
@@ -7,7 +7,7 @@
 
 import abc
 
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 
 PLUGIN_GROUP = "policy"
--- a/rhubarblock/routing/placement/prompt.py
+++ b/rhubarblock/routing/placement/prompt.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from rhubarblock.core import listed as lists
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -17,7 +17,7 @@
       pause_s: longest pause that is on time, in seconds; 0 where any is.
       objective_s: time to the first event that is on time, in seconds.
       waited_s: seconds since its arrival.
-      hurried: whether its caller is within a stream already, so that each
+      is_mid_stream: whether its caller is within a stream already, so that each
         hundredth of a second counts.
       refusals: plans of it that an engine refused.
     """
@@ -27,7 +27,7 @@
     answer_tokens: int
     pause_s: float
     objective_s: float
-    hurried: bool = False
+    is_mid_stream: bool = False
     waited_s: float = 0.0
     refusals: int = 0
 
@@ -43,7 +43,7 @@
       pause_s: seconds between that and the next one.
     """
 
-    job: enginebook.Job
+    job: jobtracker.Job
     engines: tuple[lists.ListedEndpoint, ...]
     expected_s: float
     pause_s: float = 0.0
--- a/rhubarblock/routing/placement/promptpolicy.py
+++ b/rhubarblock/routing/placement/promptpolicy.py
@@ -4,7 +4,7 @@
 
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import enginebook
+from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import prompt as prompts
 
 PLUGIN_GROUP = "prompt_policy"
@@ -16,14 +16,14 @@
     plugin_group = PLUGIN_GROUP
     plugin_name = ""
 
-    def __init__(self, book: enginebook.EngineBook, data_centre: str):
+    def __init__(self, tracker: jobtracker.JobTracker, data_centre: str):
         """Creates a policy over what is known of the engines.
 
         Args:
-          book: what each engine has before it.
+          tracker: what each engine has before it.
           data_centre: where the instance runs.
         """
-        self._book = book
+        self._tracker = tracker
         self._data_centre = data_centre
 
     @abc.abstractmethod
@@ -46,7 +46,7 @@
           The choice, or None if no engine has room for it.
         """
 
-    def predict_start(
+    def find_start_delay(
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
--- a/rhubarblock/routing/placement/segments.py
+++ b/rhubarblock/routing/placement/segments.py
@@ -1,6 +1,6 @@
 """Splits prompts that are larger than one engine."""
 
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 
 # KV memory that the last engine of a group keeps for reading earlier segments.
--- a/rhubarblock/routing/placement/segments_test.py
+++ b/rhubarblock/routing/placement/segments_test.py
@@ -4,7 +4,7 @@
 
 from rhubarblock.plugins import length_aware
 from rhubarblock.plugins import naive
-from rhubarblock.routing.placement import answer as placements
+from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable_test
 from rhubarblock.routing.placement import segments
 
--- a/rhubarblock/routing/quarantine/flight.py
+++ b/rhubarblock/routing/quarantine/flight.py
@@ -11,7 +11,7 @@
 import math
 
 from rhubarblock.kernel import timers as timers_lib
-from rhubarblock.routing.quarantine import book as quarantinebook
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 
 # Time for which a failed request leaves a trace, in seconds.
 _LINGER_S = 1.0
@@ -120,11 +120,11 @@
     def find_patience(self, digest: str) -> float:
         """Returns for how long a suspect lets likelier ones go first."""
         age_s = self._ages.get(digest, 0.0)
-        return min(age_s, quarantinebook.YOUNG_S) * _PATIENCE_PART
+        return min(age_s, quarantineregistry.YOUNG_S) * _PATIENCE_PART
 
     def find_probe(self, digest: str) -> float:
         """Returns how long a suspect has to run alone, in seconds."""
-        age_s = self._ages.get(digest, quarantinebook.YOUNG_S)
+        age_s = self._ages.get(digest, quarantineregistry.YOUNG_S)
         probe_s = age_s * _PROBE_RATIO + _PROBE_EXTRA_S
         return min(probe_s, _PROBE_LONGEST_S)
 
--- a/rhubarblock/routing/quarantine/gate.py
+++ b/rhubarblock/routing/quarantine/gate.py
@@ -28,11 +28,11 @@
 from rhubarblock.fleet import peertransport
 from rhubarblock.fleet import rendezvous
 from rhubarblock.kernel import timers as timers_lib
-from rhubarblock.routing.quarantine import book as quarantinebook
 from rhubarblock.routing.quarantine import desk as quarantinedesk
 from rhubarblock.routing.quarantine import flight as quarantineflight
 from rhubarblock.routing.quarantine import keeper as quarantinekeeper
 from rhubarblock.routing.quarantine import quarantine_pb2
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 from rhubarblock.routing.quarantine import wire as quarantinewire
 from rhubarblock.store import store as stores
 
@@ -44,7 +44,7 @@
 
 _MS_PER_S = 1000
 
-Decision = quarantinebook.Decision
+Decision = quarantineregistry.Decision
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -119,7 +119,7 @@
         instance_id: str,
         transport: peertransport.PeerTransport,
         list_peers: Callable[[], Iterable[Peer]],
-        find_desk: Callable[[str], Peer | None],
+        find_issuer: Callable[[str], Peer | None],
         rng: random.Random,
         settings: QuarantineSettings | None = None,
     ):
@@ -131,7 +131,7 @@
           instance_id: this instance.
           transport: calls to peers.
           list_peers: returns the other live instances.
-          find_desk: returns the live instance that holds a duty.
+          find_issuer: returns the live instance that holds a duty.
           rng: spreads the readings of the store.
           settings: times and numbers.
         """
@@ -139,10 +139,10 @@
         self._instance_id = instance_id
         self._transport = transport
         self._list_peers = list_peers
-        self._find_desk = find_desk
+        self._find_desk = find_issuer
         self._rng = rng
         self._settings = settings or QuarantineSettings()
-        self._book = quarantinebook.QuarantineBook()
+        self._book = quarantineregistry.QuarantineRegistry()
         self._desk = quarantinedesk.PermitDesk(timers)
         self._flights = quarantineflight.FlightTable(timers)
         self._keeper = quarantinekeeper.QuarantineKeeper(
@@ -222,7 +222,7 @@
             )
         )
 
-    def list_kept(
+    def list_reserved(
         self, service: str, endpoint_ids: Iterable[str]
     ) -> frozenset[str]:
         """Returns the endpoints that take no new work but suspects.
@@ -288,7 +288,7 @@
         self._flights.begin_probe(permit.digest, probe_s)
         request = quarantine_pb2.PermitRequest(
             service=permit.service,
-            digest=quarantinebook.shorten(permit.digest),
+            digest=quarantineregistry.shorten(permit.digest),
             probe_ms=int(probe_s * _MS_PER_S),
             started=True,
         )
@@ -299,7 +299,7 @@
         self._flights.end_probe(permit.digest)
         request = quarantine_pb2.PermitRequest(
             service=permit.service,
-            digest=quarantinebook.shorten(permit.digest),
+            digest=quarantineregistry.shorten(permit.digest),
             release=True,
         )
         await self._tell_desk(permit.desk, request)
@@ -309,7 +309,7 @@
         await self._spread(self._book.clear(digest, self._timers.read_wall()))
         await self._keeper.sync()
 
-    def list_quarantined(self) -> list[quarantinebook.Quarantine]:
+    def list_quarantined(self) -> list[quarantineregistry.Quarantine]:
         """Returns the quarantines in force."""
         return self._book.list_quarantined(self._timers.read_wall())
 
@@ -342,7 +342,7 @@
 
     # Telling the peers.
 
-    async def _spread(self, facts: quarantinebook.Facts) -> None:
+    async def _spread(self, facts: quarantineregistry.Facts) -> None:
         """Tells all peers, and waits until they know or time is up.
 
         It also waits for what others are told already: a crash is noted once
@@ -399,7 +399,7 @@
         probe_s = self._flights.find_probe(digest)
         request = quarantine_pb2.PermitRequest(
             service=service,
-            digest=quarantinebook.shorten(digest),
+            digest=quarantineregistry.shorten(digest),
             endpoint_ids=endpoint_ids,
             probe_ms=int((probe_s + self._settings.start_s) * _MS_PER_S),
             hold_ms=int(hold_s * _MS_PER_S),
--- a/rhubarblock/routing/quarantine/gate_test.py
+++ b/rhubarblock/routing/quarantine/gate_test.py
@@ -104,7 +104,7 @@
             (await bench.acquire("a", digest)).value_or(None)
             for digest in suspects
         ]
-        kept = bench.nodes["c"].list_kept("pool", ENDPOINTS)
+        kept = bench.nodes["c"].list_reserved("pool", ENDPOINTS)
         assert len(kept) == 2
         assert {p.endpoint_id for p in permits[:2]} == kept
         assert permits[2] is None
@@ -114,7 +114,7 @@
             bench.nodes["a"].note_started(permit)
         assert (await bench.acquire("a", "y", 2.0)).unwrap() is not None
         await bench.clock.sleep(6.0)
-        assert not bench.nodes["c"].list_kept("pool", ENDPOINTS)
+        assert not bench.nodes["c"].list_reserved("pool", ENDPOINTS)
 
     run(check)
 
--- a/rhubarblock/routing/quarantine/keeper.py
+++ b/rhubarblock/routing/quarantine/keeper.py
@@ -8,7 +8,7 @@
 
 from rhubarblock.core import position as positions
 from rhubarblock.kernel import timers as timers_lib
-from rhubarblock.routing.quarantine import book as quarantinebook
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 from rhubarblock.routing.quarantine import wire as quarantinewire
 from rhubarblock.store import store as stores
 
@@ -35,7 +35,7 @@
         self,
         timers: timers_lib.Timers,
         store: stores.ObjectStore | None,
-        book: quarantinebook.QuarantineBook,
+        book: quarantineregistry.QuarantineRegistry,
     ):
         """Creates a keeper.
 
@@ -72,7 +72,7 @@
                 raise
         now_s = self._timers.read_wall()
         self._book.merge(quarantinewire.decode_facts(kept), now_s)
-        facts = quarantinebook.Facts(
+        facts = quarantineregistry.Facts(
             cleared=self._book.read_facts().cleared,
             quarantined=self._book.list_quarantined(now_s),
         )
--- a/rhubarblock/routing/quarantine/book.py
+++ b/rhubarblock/routing/quarantine/registry.py
@@ -145,7 +145,7 @@
     crashes: list[Crash] = dataclasses.field(default_factory=list)
 
 
-class QuarantineBook:
+class QuarantineRegistry:
     """The facts that one instance knows."""
 
     __slots__ = ("_cleared", "_crashes", "_kept", "_quarantined", "_suspicions")
--- a/rhubarblock/routing/quarantine/book_test.py
+++ b/rhubarblock/routing/quarantine/registry_test.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from rhubarblock.routing.quarantine import book as quarantinebook
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 from rhubarblock.routing.quarantine import wire as quarantinewire
 
-ALLOW = quarantinebook.Decision.ALLOW
-ISOLATE = quarantinebook.Decision.ISOLATE
-REFUSE = quarantinebook.Decision.REFUSE
+ALLOW = quarantineregistry.Decision.ALLOW
+ISOLATE = quarantineregistry.Decision.ISOLATE
+REFUSE = quarantineregistry.Decision.REFUSE
 
 
 def decide_all(book, now_s, digests="pxyz"):
@@ -15,29 +15,29 @@
 
 
 def test_young_requests_are_suspect_after_a_crash_and_old_ones_are_not():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     assert decide_all(book, 0.0) == [ALLOW] * 4
     book.add_crash("e1", {"p": 0.1, "x": 1.5, "y": 9.0}, 0.0)
     assert decide_all(book, 1.0) == [ISOLATE, ISOLATE, ALLOW, ALLOW]
 
 
 def test_old_requests_are_suspect_after_two_crashes():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 9.0, "x": 9.0}, 0.0)
     book.add_crash("e2", {"p": 9.0, "y": 9.0}, 10.0)
     assert decide_all(book, 10.0) == [ISOLATE, ALLOW, ALLOW, ALLOW]
 
 
 def test_a_second_crash_has_one_cause_and_frees_its_neighbours():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1, "x": 0.1, "y": 0.1}, 0.0)
     news = book.add_crash("e2", {"p": 0.0, "z": 0.1}, 10.0)
     assert decide_all(book, 10.0) == [REFUSE, ALLOW, ALLOW, ALLOW]
-    assert news.quarantined == [quarantinebook.Quarantine("p", 10.0, 2)]
+    assert news.quarantined == [quarantineregistry.Quarantine("p", 10.0, 2)]
 
 
 def test_two_suspects_in_one_crash_are_not_told_apart():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1, "x": 0.1}, 0.0)
     book.add_crash("e2", {"p": 0.1, "x": 0.1}, 10.0)
     assert decide_all(book, 10.0) == [ISOLATE, ISOLATE, ALLOW, ALLOW]
@@ -46,7 +46,7 @@
 
 
 def test_a_digest_that_ran_to_its_end_is_clear():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1, "x": 0.1}, 0.0)
     book.clear("x", 5.0)
     assert decide_all(book, 5.0) == [ISOLATE, ALLOW, ALLOW, ALLOW]
@@ -55,7 +55,7 @@
 
 
 def test_one_crash_seen_by_two_instances_counts_once():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1}, 0.0)
     book.add_crash("e1", {"p": 0.1}, 1.5)
     assert book.decide("p", 2.0) is ISOLATE
@@ -64,21 +64,21 @@
 
 
 def test_the_loss_of_many_endpoints_makes_nobody_suspect():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     for name, digest in (("e1", "x"), ("e2", "y"), ("e3", "z")):
         book.add_crash(name, {digest: 0.1}, 0.5)
     assert decide_all(book, 1.0) == [ALLOW] * 4
 
 
 def test_a_digest_in_flight_at_several_of_many_lost_endpoints_is_the_cause():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     for name, digest in (("e1", "x"), ("e2", "y"), ("e3", "z")):
         book.add_crash(name, {digest: 0.1, "p": 0.1}, 0.5)
     assert decide_all(book, 1.0) == [REFUSE, ALLOW, ALLOW, ALLOW]
 
 
 def test_suspicion_and_quarantine_lapse():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1, "x": 0.1}, 0.0)
     assert book.decide("x", 299.0) is ISOLATE
     assert book.decide("x", 300.0) is ALLOW
@@ -88,7 +88,7 @@
 
 
 def test_an_operator_lets_a_digest_go():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     book.add_crash("e1", {"p": 0.1}, 0.0)
     book.add_crash("e2", {"p": 0.1}, 10.0)
     before = book.read_facts()
@@ -99,13 +99,13 @@
 
 
 def test_the_book_is_bounded():
-    book = quarantinebook.QuarantineBook()
+    book = quarantineregistry.QuarantineRegistry()
     many = {f"d{number}": 0.1 for number in range(1000)}
     for number in range(200):
         book.add_crash(f"e{number}", {"p": 9.0, **many}, float(number))
     facts = book.read_facts()
-    assert len(facts.crashes) == quarantinebook.MAX_CRASHES
-    assert len(facts.crashes[0].young) == quarantinebook.MAX_DIGESTS
+    assert len(facts.crashes) == quarantineregistry.MAX_CRASHES
+    assert len(facts.crashes[0].young) == quarantineregistry.MAX_DIGESTS
     size = len(quarantinewire.encode_facts(facts))
     assert size < 1_000_000
 
@@ -116,10 +116,10 @@
     heard = []
     for number in range(12):
         ages = {d: rng.choice((0.1, 9.0)) for d in rng.sample("pqrstxyz", 3)}
-        source = quarantinebook.QuarantineBook()
+        source = quarantineregistry.QuarantineRegistry()
         source.add_crash(f"e{rng.randrange(4)}", ages, 3.0 * number)
         heard.append(quarantinewire.encode_facts(source.read_facts()))
-    books = [quarantinebook.QuarantineBook() for _ in range(2)]
+    books = [quarantineregistry.QuarantineRegistry() for _ in range(2)]
     for book in books:
         rng.shuffle(heard)
         for payload in heard:
@@ -133,7 +133,7 @@
 
 def test_digests_are_shortened_to_one_form():
     digest = "ab" * 32
-    assert quarantinebook.shorten(digest) == "ab" * 16
-    assert quarantinebook.shorten("ab" * 16) == "ab" * 16
-    assert quarantinebook.shorten("p") == "p"
-    assert len(quarantinebook.shorten("no hex digits" * 9)) == 32
+    assert quarantineregistry.shorten(digest) == "ab" * 16
+    assert quarantineregistry.shorten("ab" * 16) == "ab" * 16
+    assert quarantineregistry.shorten("p") == "p"
+    assert len(quarantineregistry.shorten("no hex digits" * 9)) == 32
--- a/rhubarblock/routing/quarantine/wire.py
+++ b/rhubarblock/routing/quarantine/wire.py
@@ -1,12 +1,12 @@
 """Facts of the quarantine book as bytes."""
 
-from rhubarblock.routing.quarantine import book as quarantinebook
 from rhubarblock.routing.quarantine import quarantine_pb2
+from rhubarblock.routing.quarantine import registry as quarantineregistry
 
 _MS_PER_S = 1000
 
 
-def encode_facts(facts: quarantinebook.Facts) -> bytes:
+def encode_facts(facts: quarantineregistry.Facts) -> bytes:
     """Returns the bytes that stand for facts; equal facts give equal bytes."""
     state = quarantine_pb2.QuarantineState(
         crashes=[
@@ -41,16 +41,16 @@
     return state.SerializeToString()
 
 
-def decode_facts(payload: bytes) -> quarantinebook.Facts:
+def decode_facts(payload: bytes) -> quarantineregistry.Facts:
     """Returns the facts that bytes stand for.
 
     Raises:
       google.protobuf.message.DecodeError: the bytes are no facts.
     """
     state = quarantine_pb2.QuarantineState.FromString(payload)
-    return quarantinebook.Facts(
+    return quarantineregistry.Facts(
         crashes=[
-            quarantinebook.Crash(
+            quarantineregistry.Crash(
                 crash.endpoint_id,
                 crash.at_ms / _MS_PER_S,
                 set(crash.young),
@@ -64,7 +64,7 @@
             for cleared in state.cleared
         },
         quarantined=[
-            quarantinebook.Quarantine(
+            quarantineregistry.Quarantine(
                 quarantined.digest,
                 quarantined.at_ms / _MS_PER_S,
                 quarantined.crashes,
