--- a/rhubarblock/core/__init__.py
+++ b/rhubarblock/core/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data that every other package shares; it imports nothing above it."""
+"""Plain data types that every other package shares."""
--- a/rhubarblock/core/attempt.py
+++ b/rhubarblock/core/attempt.py
@@ -1,16 +1,16 @@
-"""One attempt of a prompt at an engine, and the pieces of its answer."""
+"""Attempts to run a prompt at an engine, and the chunks of the answer."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class KvSource:
-    """Where KV cache can be imported from.
+    """An exported part of a KV cache that another engine can import.
 
     Attributes:
-      address: ``host:port`` of the engine that holds it.
-      handle: name of the export at that engine (the exporting attempt id).
-      tokens: number of prompt tokens that it covers.
+      address: ``host:port`` of the engine that exports it.
+      handle: name of the export, which is the id of the exporting attempt.
+      tokens: number of prompt tokens covered.
     """
 
     address: str
@@ -20,25 +20,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """What an engine is asked to do.
+    """A request to an engine to run a prompt or one segment of it.
 
     Attributes:
-      attempt_id: ``request_id/number``; the engine echoes it in each piece.
-      owner: entry instance that sends it, ``instance_id/incarnation``.
+      attempt_id: ``request_id/number``; the engine repeats it in each chunk.
+      owner: start of the entry instance that sends it, see ``attemptid.Owner``.
       model: model name.
-      prompt: the text, may be empty in memory where lengths suffice.
+      prompt: the text; empty where a stand-in engine needs only lengths.
       prompt_tokens: length of the prompt in tokens.
       prefix_blocks: chained digests of the first blocks of the prompt.
-      digest: digest of the body; the answer depends on it alone.
-      max_tokens: tokens to generate in all, counted from index 0.
-      resume_from: index of the first token wanted; earlier ones count as given.
-      priority: smaller runs first.
+      digest: digest of the body; it alone determines the answer.
+      max_tokens: maximum number of output tokens, counted from index 0.
+      resume_from: index of the first token to generate; earlier ones count as
+        already generated.
+      priority: lower values run first.
       export: keep the KV cache under ``attempt_id`` until it is released.
-      sources: KV segments to import, in order, before computing the rest.
-      segment_end: prompt tokens to compute up to when this attempt only holds
-        one segment of a prompt larger than an engine; 0 means the whole prompt.
-      windowed: read the sources in windows where they are, and hold only what
-        they don't cover; False copies them whole.
+      sources: parts of the KV cache to import, in order, before the remaining
+        prompt tokens are computed.
+      segment_end: end of the segment to compute, in prompt tokens, for a prompt
+        that exceeds the memory of one engine; 0 means the whole prompt.
+      windowed: True reads the sources remotely in windows and holds only what
+        they do not cover; False copies them.
     """
 
     attempt_id: str
@@ -59,19 +61,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Chunk:
-    """A run of tokens of one attempt, or its end.
+    """Consecutive output tokens of one attempt, or the end of its answer.
 
     Attributes:
-      attempt_id: attempt that the engine says it belongs to.
-      index: index of the first token in it.
-      count: number of tokens in it.
-      text: the text of the tokens together.
-      end: whether the answer is complete after it.
+      attempt_id: attempt that the engine names for the chunk.
+      index: index of the first token.
+      count: number of tokens.
+      text: text of all the tokens.
+      end: whether the answer ends with this chunk.
       finish_reason: ``stop`` or ``length`` at the end, else None.
       cached_tokens: at the end, prompt tokens found in the prefix cache.
-      raw: the text as it stood in the engine's JSON, escaped and between its
-        quotes, so that it can be passed on without encoding it anew; empty
-        where it was not kept.
+      raw: the escaped text of the engine's JSON string, without its quotes, so
+        that it can be forwarded without encoding it again; empty if it was
+        not kept.
     """
 
     attempt_id: str
@@ -86,12 +88,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CacheEvent:
-    """A prefix block that an engine cached or dropped.
+    """An engine cached a prefix block or evicted it.
 
     Attributes:
-      sequence: rises by one for each event of one start; a gap shows a loss.
+      sequence: increases by one per event since the engine's start; a gap means
+        that events were lost.
       block: digest of the block.
-      stored: True when cached, False when dropped.
+      stored: True when cached, False when evicted.
     """
 
     sequence: int
@@ -101,15 +104,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Order:
-    """Desired state of an engine; repeating it is harmless.
+    """Desired state of an engine; applying it is idempotent.
 
     Attributes:
-      fence: fencing number of the holder that gives the order.
-      revision: catalogue revision that it follows from.
-      role: role to take, one of ``core.endpoint.Role`` values.
-      models: models to have loaded, ``name@version``.
-      adapters: adapters to have loaded.
-      drain: whether to refuse new work.
+      fence: fencing number of the lease holder that sends the order.
+      revision: catalogue revision that the state is derived from.
+      role: a value of ``core.endpoint.Role``.
+      models: models to keep loaded, ``name@version``.
+      adapters: adapters to keep loaded.
+      drain: whether to reject new requests.
     """
 
     fence: int
--- a/rhubarblock/core/attemptid.py
+++ b/rhubarblock/core/attemptid.py
@@ -1,8 +1,8 @@
-"""Names of requests and attempts, which tell whose they are.
+"""Ids of requests and attempts, which contain their owner.
 
-A request is ``cmpl-<instance>~<start>~<number>``, an attempt of it adds a
-slash and a short name. Whoever reads an engine's list of attempts can thus
-find out which start of which instance answers for each.
+A request id is ``cmpl-<instance>~<incarnation>~<number>``; an attempt id adds
+a slash and a short suffix. A reader of an engine's list of attempts can thus
+determine which start of which instance each attempt belongs to.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
     Attributes:
       instance_id: the instance.
-      incarnation: number of the start; rises with each one.
+      incarnation: number of the start; increases with each restart.
     """
 
     instance_id: str
@@ -31,8 +31,8 @@
     """Returns the id of a request.
 
     Args:
-      owner: start of the instance that serves it.
-      number: counts the requests of that start.
+      owner: start of the instance that serves the request.
+      number: sequence number of the request within that start.
     """
     return f"{_PREFIX}{owner}{_SEPARATOR}{number}"
 
@@ -43,7 +43,7 @@
 
 
 def parse_owner(attempt_id: str) -> Owner | None:
-    """Returns who answers for an attempt; None for a name of another form."""
+    """Returns the owner of an attempt, or None if the id has another format."""
     request_id = parse_request_id(attempt_id)
     if not request_id.startswith(_PREFIX):
         return None
--- a/rhubarblock/core/attemptid_test.py
+++ b/rhubarblock/core/attemptid_test.py
@@ -1,7 +1,7 @@
 from rhubarblock.core import attemptid
 
 
-def test_attempt_names_its_owner():
+def test_attempt_id_contains_its_owner():
     owner = attemptid.Owner("osu~hall-1", 17)
     request_id = attemptid.format_request_id(owner, 3)
     assert request_id == "cmpl-osu~hall-1~17~3"
@@ -9,6 +9,6 @@
     assert attemptid.parse_request_id(f"{request_id}/2d") == request_id
 
 
-def test_other_names_have_no_owner():
+def test_ids_of_other_formats_have_no_owner():
     for name in ("", "x", "cmpl-", "cmpl-a~b~c/1", "cmpl-a/1"):
         assert attemptid.parse_owner(name) is None
--- a/rhubarblock/core/capacity.py
+++ b/rhubarblock/core/capacity.py
@@ -1,15 +1,15 @@
-"""What the machine of an instance can carry."""
+"""Capacity of the machine that an instance runs on."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Capacity:
-    """What an instance's machine can carry; the greater can carry more.
+    """Network and CPU capacity, ordered by bandwidth and then by cores.
 
     Attributes:
-      link_mbps: bandwidth of its link in Mbit/s; 0 where that is not known.
-      cores: processor cores that it may use; 0 where that is not known.
+      link_mbps: bandwidth of the network link in Mbit/s; 0 if unknown.
+      cores: CPU cores that the instance may use; 0 if unknown.
     """
 
     link_mbps: float = 0.0
--- a/rhubarblock/core/catalogue.py
+++ b/rhubarblock/core/catalogue.py
@@ -1,7 +1,7 @@
-"""The catalogue: what operators declare and every instance follows.
+"""The catalogue: configuration that operators declare for all instances.
 
-A catalogue is one immutable value with a revision. Entries are plain data;
-``rhubarblock.catalogue`` reads, checks, compares and distributes them.
+A catalogue is an immutable value with a revision. Its entries are plain data;
+``rhubarblock.catalogue`` parses, validates, compares and distributes them.
 """
 
 import dataclasses
@@ -24,9 +24,9 @@
     """Upper bounds over all entry instances together; 0 means unlimited.
 
     Attributes:
-      requests_per_s: requests admitted a second.
-      tokens_per_s: prompt and output tokens admitted a second.
-      concurrent_long: prompts over the long threshold at one time.
+      requests_per_s: requests admitted per second.
+      tokens_per_s: prompt and output tokens admitted per second.
+      concurrent_long: concurrent prompts above the threshold for long prompts.
     """
 
     requests_per_s: float = 0.0
@@ -36,13 +36,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Institution:
-    """A customer with a long contract of its own.
+    """A customer with its own long-term contract.
 
     Attributes:
       name: unique name.
-      owner: person or team that answers for the entry.
+      owner: person or team responsible for the entry.
       limits: agreed upper bounds.
-      weight: share of the engines under contention, relative to others.
+      weight: share of the engines under contention, relative to other
+        institutions.
       contract_tokens_per_s: lowest token limit that the contract allows.
       contract_until: ISO date until which the contract runs, or empty.
     """
@@ -57,15 +58,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Workspace:
-    """A unit of work within an institution.
+    """A part of an institution with its own limits and permissions.
 
     Attributes:
       name: ``institution/name``.
-      owner: person or team that answers for the entry.
+      owner: person or team responsible for the entry.
       institution: name of its institution.
-      request_class: class of its requests unless one asks for a lower one.
+      request_class: class of its requests; a request may ask for a lower one.
       limits: agreed upper bounds.
-      weight: share within the institution.
+      weight: share of the institution's engines under contention, relative to
+        its other workspaces.
       models: models that it may use; empty means all.
       services: plain services that it may call; empty means all.
     """
@@ -86,10 +88,10 @@
 
     Attributes:
       name: unique name, as callers give it.
-      owner: person or team that answers for the entry.
-      version: version to be in force.
+      owner: person or team responsible for the entry.
+      version: version to serve.
       service: engine service that serves it.
-      context_tokens: longest prompt and output together.
+      context_tokens: maximum number of prompt and output tokens together.
       adapters: adapters to load with it.
     """
 
@@ -107,13 +109,13 @@
 
     Attributes:
       name: unique name, as in the platform's instance list.
-      owner: person or team that answers for the entry.
-      kind: engines or plain service.
-      checks_fencing: whether its endpoints refuse old fencing numbers.
-      idempotent_paths: path prefixes whose calls may run more than once.
+      owner: person or team responsible for the entry.
+      kind: whether the endpoints are engines or plain services.
+      checks_fencing: whether its endpoints reject outdated fencing numbers.
+      idempotent_paths: path prefixes of calls that may run more than once.
       kv_tokens: KV memory of one engine in tokens; 0 for plain services.
-      decode_share: share of engines with the decode role; 0 means every engine
-        has both roles, a negative number lets the load decide.
+      decode_share: share of engines with the decode role; 0 gives every engine
+        both roles, a negative number derives the share from the load.
     """
 
     name: str
@@ -131,8 +133,8 @@
 
     Attributes:
       name: unique name.
-      owner: person or team that answers for the entry.
-      region: region it lies in.
+      owner: person or team responsible for the entry.
+      region: region in which it lies.
     """
 
     name: str
@@ -142,14 +144,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Credential:
-    """A secret's digest and what it allows; the secret itself is never kept.
+    """Digest of a secret and its permissions; the secret is never stored.
 
     Attributes:
       name: unique name.
-      owner: person or team that answers for the entry.
+      owner: person or team responsible for the entry.
       sha256: hex digest of the secret.
       role: what its holder may do.
-      institution: institution it acts for; empty for an administrator.
+      institution: institution of the holder; empty for an administrator.
       workspace: workspace of a caller, ``institution/name``, else empty.
     """
 
@@ -166,7 +168,8 @@
     """All entries at one revision.
 
     Attributes:
-      revision: rises by one with each accepted change; 0 is the empty one.
+      revision: increases by one with each accepted change; 0 is the empty
+        catalogue.
     """
 
     revision: int = 0
--- a/rhubarblock/core/document.py
+++ b/rhubarblock/core/document.py
@@ -1,8 +1,9 @@
-"""A configuration as named pieces of text, and what differs between two.
+"""Versioned configuration documents and the differences between versions.
 
-An operator's configuration has thousands of pieces and each version changes a
-few. Whoever has one version needs only those to have the next one, and a digest
-says whether the result is the same text for text.
+A document consists of named pieces of text. An operator's configuration has
+thousands of pieces, of which each version changes a few. An instance that holds
+one version needs only the changed pieces to build the next one, and a digest
+confirms that every piece of the result is the same.
 """
 
 from collections.abc import Iterable
@@ -11,21 +12,21 @@
 import functools
 import hashlib
 
-# A digest is a sum of hashes, so that a change costs no look at other pieces.
+# A digest is a sum of hashes, so updating it needs only the changed pieces.
 DIGEST_BYTES = 16
 _DIGESTS = 1 << (8 * DIGEST_BYTES)
 
 
 class DifferenceError(ValueError):
-    """A difference does not lead from the document at hand to its result."""
+    """A difference does not apply to a document, or has a wrong digest."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Identity:
-    """Names one content of a document.
+    """Identifies the content of a document.
 
     Attributes:
-      version: rises with each accepted change; 0 without content.
+      version: increases with each accepted change; 0 without content.
       digest: sum of the hashes of all pieces.
     """
 
@@ -41,8 +42,8 @@
     """One version of a configuration.
 
     Attributes:
-      identity: names its content.
-      pieces: texts by name; their order means nothing.
+      identity: version and digest of its content.
+      pieces: texts by name, in no particular order.
     """
 
     identity: Identity
@@ -54,13 +55,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Difference:
-    """What leads from one document to a later one.
+    """The changes that turn one document into a later one.
 
     Attributes:
-      before: the document that it applies to; ``NOTHING`` where it is whole.
-      after: the document that it leads to.
+      before: identity of the document that it applies to; ``NOTHING`` if it
+        holds the whole document.
+      after: identity of the resulting document.
       changed: new and changed pieces by name.
-      removed: names of pieces that are gone.
+      removed: names of the removed pieces.
     """
 
     before: Identity
@@ -72,35 +74,35 @@
 def compare(
     before: Document, version: int, pieces: Mapping[str, str]
 ) -> Difference:
-    """Returns what leads from a document to other pieces.
+    """Returns the changes that turn a document into another one.
 
     Args:
-      before: the document at hand.
-      version: version of the other pieces.
-      pieces: all of them.
+      before: the earlier document.
+      version: version of the later document.
+      pieces: all pieces of the later document.
     """
     known = before.pieces
     changed = {n: t for n, t in pieces.items() if known.get(n) != t}
     removed = tuple(name for name in known if name not in pieces)
-    digest = _move_digest(before, changed, removed)
+    digest = _update_digest(before, changed, removed)
     return Difference(
         before.identity, Identity(version, digest), changed, removed
     )
 
 
 def apply(before: Document, difference: Difference) -> Document:
-    """Returns the document that a difference leads to.
+    """Returns the document that results from applying a difference.
 
     Raises:
-      DifferenceError: it belongs to another document, or does not lead to what
-        it says.
+      DifferenceError: the difference belongs to another document, or its result
+        does not have the digest that it names.
     """
     if difference.before != before.identity:
         raise DifferenceError(
             f"it follows version {difference.before.version}, not the content "
             f"of version {before.identity.version} that is here"
         )
-    digest = _move_digest(before, difference.changed, difference.removed)
+    digest = _update_digest(before, difference.changed, difference.removed)
     if digest != difference.after.digest:
         raise DifferenceError(
             f"it does not lead to version {difference.after.version}"
@@ -113,10 +115,10 @@
 
 
 def join(differences: Iterable[Difference]) -> Difference:
-    """Returns the one difference that does what several do in turn.
+    """Combines consecutive differences into one.
 
     Args:
-      differences: at least one; each follows the one before it.
+      differences: at least one; each applies to the result of the previous one.
     """
     return functools.reduce(_join_two, differences)
 
@@ -130,10 +132,10 @@
     return Difference(first.before, second.after, changed, gone)
 
 
-def _move_digest(
+def _update_digest(
     before: Document, changed: Mapping[str, str], removed: Iterable[str]
 ) -> int:
-    """Returns the digest of a document after a change of it."""
+    """Returns the digest of a document after a change."""
     digest = before.identity.digest
     for name in (*changed, *removed):
         text = before.pieces.get(name)
--- a/rhubarblock/core/document_test.py
+++ b/rhubarblock/core/document_test.py
@@ -1,4 +1,4 @@
-"""Documents and their differences, by tiny examples and by random histories."""
+"""Tests differences of documents by examples and by random histories."""
 
 import hypothesis
 from hypothesis import strategies
@@ -18,7 +18,7 @@
     return documents.apply(documents.EMPTY, difference)
 
 
-def test_difference_names_what_changed_and_what_is_gone():
+def test_difference_names_changed_and_removed_pieces():
     before = make(1, a="1", b="1", c="1")
     difference = documents.compare(before, 4, {"a": "1", "b": "2", "d": "1"})
     assert difference.changed == {"b": "2", "d": "1"}
@@ -30,7 +30,7 @@
     assert make(1, a="1", b="2").identity == make(1, b="2", a="1").identity
 
 
-def test_same_text_under_another_name_is_another_content():
+def test_digest_depends_on_the_names_of_pieces():
     assert make(1, a="1").identity != make(1, b="1").identity
 
 
@@ -43,17 +43,17 @@
     )
 
 
-def test_difference_that_lost_a_piece_is_refused():
+def test_difference_that_lacks_a_piece_is_refused():
     before = make(1, a="1")
     whole = documents.compare(before, 2, {"a": "2", "b": "2"})
-    torn = documents.Difference(whole.before, whole.after, {"a": "2"})
+    incomplete = documents.Difference(whole.before, whole.after, {"a": "2"})
     with pytest.raises(documents.DifferenceError) as caught:
-        documents.apply(before, torn)
+        documents.apply(before, incomplete)
     assert str(caught.value) == "it does not lead to version 2"
 
 
 @hypothesis.given(strategies.lists(PIECES, min_size=2, max_size=6))
-def test_joined_differences_do_what_they_do_in_turn(history):
+def test_joined_differences_equal_applying_each_in_turn(history):
     document = documents.EMPTY
     first = None
     differences = []
--- a/rhubarblock/core/endpoint.py
+++ b/rhubarblock/core/endpoint.py
@@ -1,4 +1,4 @@
-"""What the system knows of an endpoint: identity, role, load."""
+"""Identity, role, state and load of an endpoint."""
 
 import dataclasses
 import enum
@@ -13,14 +13,14 @@
 
 
 class EndpointKind(enum.Enum):
-    """What stands behind an address."""
+    """Whether an endpoint is a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class EndpointState(enum.Enum):
-    """The life of an endpoint as an entry instance sees it."""
+    """State of an endpoint as an entry instance sees it."""
 
     KNOWN = "known"
     LOADING = "loading"
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Endpoint:
-    """Identity of an endpoint; what changes about it is kept elsewhere.
+    """Identity of an endpoint; its mutable state is kept elsewhere.
 
     Attributes:
       endpoint_id: unique name.
-      address: ``host:port`` with an IP number.
+      address: ``host:port`` with an IP address.
       data_centre: data centre in which it runs.
       service: service of the catalogue that it belongs to.
       kind: engine or plain service.
@@ -52,24 +52,25 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadReport:
-    """What an engine says of itself; it describes a moment already past.
+    """Load that an engine reports; it is out of date when it arrives.
 
     Attributes:
       endpoint_id: engine that reports.
-      measured_s: the engine's own clock at measurement, in seconds.
-      sequence: rises with each report of one start of the engine.
-      start_id: changes whenever the engine starts anew.
-      role: role in force.
-      models: models loaded, ``name@version``.
+      measured_s: time of the measurement by the engine's clock, in seconds.
+      sequence: increases with each report since the engine's start.
+      start_id: changes whenever the engine restarts.
+      role: current role.
+      models: loaded models, ``name@version``.
       running: requests that hold KV memory.
       decoding: requests that generate tokens.
-      waiting: requests that do not hold KV memory yet.
-      prefill_tokens: prompt tokens still to be computed, running and waiting.
+      waiting: queued requests, which hold no KV memory yet.
+      prefill_tokens: prompt tokens still to be computed, of running and waiting
+        requests.
       kv_capacity: KV memory in tokens.
       kv_used: KV memory held by requests, exports and imports, in tokens.
-      attempts: attempt ids that hold memory or wait for it.
-      draining: whether the engine refuses new work.
-      fence: highest fencing number that the engine obeyed.
+      attempts: ids of the attempts that hold KV memory or wait for it.
+      draining: whether the engine rejects new requests.
+      fence: highest fencing number that the engine accepted.
     """
 
     endpoint_id: str
--- a/rhubarblock/core/exchange.py
+++ b/rhubarblock/core/exchange.py
@@ -1,4 +1,4 @@
-"""An opaque exchange: a request that is passed on without being understood."""
+"""An opaque exchange: a request that is forwarded without interpretation."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Header:
-    """One field of a head, spelled as it came."""
+    """One HTTP header field, spelled as received."""
 
     name: str
     value: str
@@ -15,24 +15,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A caller's request after its key and route were checked.
+    """A caller's request after authentication and route lookup.
 
     Attributes:
-      request_id: id of this attempt of the caller, passed on unchanged.
+      request_id: id that the caller gave this attempt, forwarded unchanged.
       method: HTTP method.
-      target: path and query exactly as they came.
-      headers: fields to pass on.
+      target: path and query exactly as received.
+      headers: header fields to forward.
       body: the whole body.
-      route: route that it takes.
-      service: service that was chosen of the route's shares.
-      workspace: name of the key's owner; empty on an anonymous route.
+      route: matching route.
+      service: service chosen from the route's shares.
+      workspace: owner of the API key; empty on an anonymous route.
       priority: rank, 0 is the highest.
-      arrived_s: arrival, in seconds of the monotonic clock.
-      deadline_s: latest end, in seconds of the monotonic clock.
-      prompt_tokens: tokens of the prompt; 0 where there is none.
-      answer_tokens: most tokens of the answer; 0 where there is none.
-      last_event: number of the last event that the caller has, or -1.
-      digest: the same for the same path, caller and body.
+      arrived_s: arrival time, in seconds of the monotonic clock.
+      deadline_s: deadline, in seconds of the monotonic clock.
+      prompt_tokens: tokens of the prompt; 0 if there is none.
+      answer_tokens: maximum tokens of the answer; 0 if there is none.
+      last_event: number of the last event that the caller received, or -1.
+      digest: equal for equal path, caller and body.
     """
 
     request_id: str
--- a/rhubarblock/core/failure.py
+++ b/rhubarblock/core/failure.py
@@ -1,8 +1,8 @@
-"""The typed error that crosses every interface of the system.
+"""The typed error that all interfaces of the system use.
 
 Functions that can fail in an expected way return ``returns.result.Result``
-with a ``Failure`` inside. Code that is written straight down over a stream
-raises ``FailureError``, which only carries a ``Failure``.
+with a ``Failure`` inside. Sequential code that handles a stream raises
+``FailureError`` instead, which wraps a ``Failure``.
 """
 
 import dataclasses
@@ -76,7 +76,7 @@
 
     Attributes:
       code: machine-readable reason.
-      message: one sentence for a person.
+      message: one human-readable sentence.
       verdict: whether the request may have run.
       retry_after_s: seconds after which a retry makes sense, or None.
     """
@@ -88,12 +88,12 @@
 
     @property
     def http_status(self) -> int:
-        """The HTTP status that stands for this failure."""
+        """The HTTP status code of this failure."""
         return HTTP_STATUS[self.code]
 
 
 class FailureError(Exception):
-    """Carries a ``Failure`` through code that is written straight down."""
+    """Wraps a ``Failure`` for code that reports errors by raising."""
 
     def __init__(self, failure: Failure):
         super().__init__(f"{failure.code.value}: {failure.message}")
--- a/rhubarblock/core/listed.py
+++ b/rhubarblock/core/listed.py
@@ -1,21 +1,21 @@
-"""An endpoint as the list of endpoints shows it."""
+"""An entry of the list of endpoints."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """One line of the list.
+    """An endpoint as the list of endpoints describes it.
 
     Attributes:
-      endpoint_id: names an endpoint; a later start may have the same.
-      address: ``host:port`` with an IP number.
+      endpoint_id: id of the endpoint; a restarted endpoint may reuse it.
+      address: ``host:port`` with an IP address.
       data_centre: data centre in which it runs.
       service: service that it belongs to.
-      slots: requests that it runs at once.
-      draining: whether it is about to leave and wants no new work.
-      born_ms: when it started, in Unix milliseconds; tells the starts under
-        one id apart and is held against nothing else. 0 where it isn't known.
+      slots: maximum number of requests that it runs concurrently.
+      draining: whether it is about to leave and accepts no new requests.
+      born_ms: start time in Unix milliseconds, 0 if unknown; distinguishes the
+        starts that share one id and is compared with nothing else.
     """
 
     endpoint_id: str
--- a/rhubarblock/core/position.py
+++ b/rhubarblock/core/position.py
@@ -1,8 +1,8 @@
 """A position in the history of a store.
 
-A store that comes back from an older copy begins a new era: its revisions go
-back and are given out again. So a revision alone says neither which of two
-states is later nor whether they are the same; only a position does.
+A store that is restored from an older copy begins a new era: its revisions go
+back and are assigned again. A revision alone therefore tells neither which of
+two states is later nor whether they are equal; a position tells both.
 """
 
 import dataclasses
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Position:
-    """Where a state stands in the history of a store.
+    """Position of a state in the history of a store.
 
     Attributes:
-      era: rises each time that the store comes back from an older copy; 0 where
-        the store tells of none.
-      revision: rises with each write within an era.
+      era: increases each time the store is restored from an older copy; 0 if
+        the store reports no era.
+      revision: increases with each write within an era.
     """
 
     era: int = 0
@@ -25,16 +25,16 @@
         return self != NOWHERE
 
     def may_be_copy_of(self, earlier: "Position") -> bool:
-        """Says whether a state may be the older copy of an earlier one.
+        """Returns whether this state may be a copy from an earlier era.
 
-        A copy keeps its revision, and what is written in a new era gets one
-        above all copies.
+        A copied state keeps its revision, and a write in the new era gets a
+        revision above all copied ones.
 
         Args:
-          earlier: position of the last state that an earlier era had.
+          earlier: position of the object's last state in the earlier era.
         """
         return self.era > earlier.era and self.revision <= earlier.revision
 
 
-# Stands before all states; as an expected position, that there is no object.
+# Precedes all states. As an expected position: the object must not exist.
 NOWHERE = Position()
--- a/rhubarblock/core/ratelimit.py
+++ b/rhubarblock/core/ratelimit.py
@@ -1,16 +1,16 @@
-"""The rate limit that an endpoint names for itself in its answers."""
+"""The rate limit that an endpoint states in its response headers."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StatedLimit:
-    """What the head of one answer says of the endpoint's limit.
+    """Rate limit that the headers of one response state.
 
     Attributes:
-      per_s: requests a second that the endpoint takes from all instances
-        together; None where the head names no limit that can be read.
-      unreadable: the text that is no limit; empty where there is none.
+      per_s: requests per second that the endpoint accepts from all instances
+        together; None if the headers state no valid limit.
+      unreadable: text of an invalid limit, else empty.
     """
 
     per_s: float | None = None
--- a/rhubarblock/core/request.py
+++ b/rhubarblock/core/request.py
@@ -1,11 +1,11 @@
-"""A caller's request after it was checked, before it is routed."""
+"""A caller's request after validation and before routing."""
 
 import dataclasses
 import enum
 
 
 class RequestClass(enum.Enum):
-    """How urgent a request is; the catalogue gives each class its limits."""
+    """Urgency of a request; the catalogue sets the limits of each class."""
 
     INTERACTIVE = "interactive"
     STANDARD = "standard"
@@ -14,22 +14,23 @@
 
 @dataclasses.dataclass(slots=True)
 class PromptRequest:
-    """One prompt to be completed by a model engine.
+    """A prompt to be completed by a model engine.
 
     Attributes:
       request_id: unique id, also the ``id`` of the completion.
-      institution: owner of the credentials that sent it.
+      institution: owner of the credential that sent it.
       workspace: workspace within the institution.
       model: name of the model in the catalogue.
       request_class: urgency class.
       prompt_tokens: length of the prompt in tokens.
-      max_tokens: most tokens to generate.
-      deadline_s: latest end, in seconds of the monotonic clock.
-      digest: hex digest of the body, the same for the same content.
+      max_tokens: maximum number of tokens to generate.
+      deadline_s: deadline, in seconds of the monotonic clock.
+      digest: hex digest of the body.
       prefix_blocks: chained digests of the first blocks of the prompt.
-      prompt: the text to send on, empty where a stand-in needs only lengths.
+      prompt: the text to forward; empty where a stand-in engine needs only
+        lengths.
       stream: whether the caller wants the answer as a stream.
-      arrived_s: arrival in seconds of the monotonic clock.
+      arrived_s: arrival time, in seconds of the monotonic clock.
     """
 
     request_id: str
@@ -49,20 +50,21 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceCall:
-    """One plain HTTP call to a service that stands beside the engines.
+    """An HTTP call to a plain service, which is not a model engine.
 
     Attributes:
       request_id: unique id.
-      institution: owner of the credentials that sent it.
+      institution: owner of the credential that sent it.
       workspace: workspace within the institution.
       service: name of the service in the catalogue.
       method: HTTP method.
-      path: path and query below the service, starting with a slash.
+      path: path and query relative to the service, with a leading slash.
       body: request body.
       digest: hex digest of method, path and body.
       idempotent: whether the call may run more than once.
       idempotency_key: the caller's key, or None.
-      deadline_s: latest end, in seconds of the monotonic clock.
+      deadline_s: deadline, in seconds of the monotonic clock.
+      content_type: media type of the body.
     """
 
     request_id: str
@@ -81,13 +83,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceAnswer:
-    """The whole answer of a plain service.
+    """The complete response of a plain service.
 
     Attributes:
       status: HTTP status.
       body: response body.
       content_type: media type of the body.
-      replayed: whether it was kept from an earlier run of the same key.
+      replayed: whether it is the stored answer to an earlier call with the same
+        idempotency key.
     """
 
     status: int
--- a/rhubarblock/core/route.py
+++ b/rhubarblock/core/route.py
@@ -1,7 +1,7 @@
-"""Routes, services and keys: what an accepted configuration allows.
+"""Routes, services and API keys of an accepted configuration.
 
-A routing table is one whole, checked version of it. Nothing here knows in
-which format an operator wrote it.
+A routing table is one complete, validated version of the configuration. It does
+not depend on the format in which an operator wrote it.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceShare:
-    """A service of a route and its part of the route's requests.
+    """A service of a route and its share of the route's requests.
 
     Attributes:
       service: name of the service.
-      weight: its part, against the sum over the route's shares.
+      weight: its share, relative to the sum over the route's shares.
     """
 
     service: str
@@ -34,23 +34,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Route:
-    """Where the requests of one host and path prefix go, and within which time.
+    """Services, objectives and retries for one host and path prefix.
 
     Attributes:
       name: unique name.
-      host: host that the caller names, without a port.
-      path_prefix: begin of the path; it begins and ends with a slash.
-      kind: what may be repeated.
+      host: value of the Host header, without a port.
+      path_prefix: prefix of the path, with a slash at both ends.
+      kind: which requests may be retried.
       shares: services that serve it.
-      max_attempts: endpoints that one request may run on.
-      timeout_s: longest time for which a caller is kept waiting, in seconds.
-      objective_s: time to the answer, or the first event of a stream, that
-        earns the full credit, in seconds.
-      pause_s: longest pause between the events of a stream that is still on
-        time, in seconds; 0 where the route has none.
+      max_attempts: maximum number of endpoints that one request may run on.
+      timeout_s: maximum time that a caller waits, in seconds.
+      objective_s: latency objective, in seconds: time to the answer, or to the
+        first event of a stream, that earns the full credit.
+      pause_s: objective for the time between two events of a stream, in
+        seconds; 0 if the route has none.
       priority: rank, 0 is the highest.
-      anonymous: whether a request needs no key.
-      resumable: whether a broken stream may go on at another endpoint.
+      anonymous: whether requests need no API key.
+      resumable: whether a broken stream may be resumed at another endpoint.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run may be retried."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -76,21 +76,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineCostModel:
-    """What the steps of a model engine cost.
+    """Cost model of the steps of a model engine.
 
     Attributes:
-      slots: requests that run at once.
-      kv_capacity_tokens: tokens of prompt and answer that fit into its memory.
-      stride: token steps of a pass in which anything is being written.
-      step_ms: milliseconds of a token step.
-      sequence_ms: further milliseconds of a step for each request that writes.
-      context_ms: further milliseconds of a step for each 1,000 tokens of
-        context of a request that writes.
-      prefill_tokens_per_ms: prompt tokens read in a millisecond.
-      pair_ms: milliseconds for each million pairs of a prompt token and an
-        earlier one.
-      chunk_tokens: prompt tokens read within one step at most.
-      hop_ms: further milliseconds of a step while other engines hold parts.
+      slots: maximum number of requests that run concurrently.
+      kv_capacity_tokens: KV cache capacity, in tokens of prompts and answers.
+      stride: decode steps of a pass in which any request decodes.
+      step_ms: base time of a decode step, in milliseconds.
+      sequence_ms: additional milliseconds of a step per decoding request.
+      context_ms: additional milliseconds of a step per 1,000 context tokens of
+        decoding requests.
+      prefill_tokens_per_ms: prompt tokens prefilled per millisecond, without
+        the cost of attention.
+      pair_ms: cost of attention, in milliseconds per million pairs of a prompt
+        token and an earlier one.
+      chunk_tokens: maximum number of prompt tokens prefilled within one step.
+      hop_ms: additional milliseconds of a step while other engines hold parts
+        of the prompt.
     """
 
     slots: int
@@ -105,21 +107,26 @@
     hop_ms: float
 
     def predict_prefill(self, tokens: int, parts: int = 1) -> float:
-        """Returns the seconds that one part of a prompt takes to read.
+        """Returns the seconds that the prefill of one part of a prompt takes.
 
         Args:
           tokens: length of the whole prompt.
-          parts: engines that read an even part each.
+          parts: number of engines that prefill an equal part each.
         """
         pairs_m = tokens * tokens / 2e6
         whole_ms = tokens / self.prefill_tokens_per_ms + pairs_m * self.pair_ms
         return whole_ms / parts / 1e3
 
-    def predict_stride(self, writers: int, context_tokens: int) -> float:
-        """Returns the seconds of a pass that writes and reads nothing."""
+    def predict_stride(self, sequences: int, context_tokens: int) -> float:
+        """Returns the seconds of a pass that only decodes.
+
+        Args:
+          sequences: number of decoding requests.
+          context_tokens: context tokens of all of them.
+        """
         step_ms = (
             self.step_ms
-            + self.sequence_ms * writers
+            + self.sequence_ms * sequences
             + self.context_ms * context_tokens / 1e3
         )
         return self.stride * step_ms / 1e3
@@ -127,13 +134,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceSpec:
-    """A service: a set of endpoints that do the same work.
+    """A service: a set of interchangeable endpoints.
 
     Attributes:
       name: unique name.
       health_path: path of its health check.
-      max_connections: connections that one endpoint takes from all callers.
-      engine: costs of its engines; None for a plain service.
+      max_connections: maximum number of connections that one endpoint accepts
+        from all callers.
+      engine: cost model of its engines; None for a plain service.
     """
 
     name: str
@@ -144,11 +152,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Workspace:
-    """An owner of keys.
+    """The owner of API keys.
 
     Attributes:
       name: unique name.
-      priority: rank that goes before the route's, or None.
+      priority: rank that overrides the route's, or None.
     """
 
     name: str
@@ -157,13 +165,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerBounds:
-    """What a caller may send.
+    """Limits on the requests and connections of a caller.
 
     Attributes:
-      header_bytes: longest head of a request.
-      body_bytes: longest body.
-      header_timeout_s: seconds that a head may take.
-      idle_timeout_s: seconds for which an idle connection stays open.
+      header_bytes: maximum size of a request's header section.
+      body_bytes: maximum size of a request's body.
+      header_timeout_s: seconds within which the header section must arrive.
+      idle_timeout_s: seconds after which an idle connection is closed.
     """
 
     header_bytes: int = 16_384
@@ -175,22 +183,23 @@
 class RouteIndex:
     """Routes by name, and by the host and path prefix that they serve.
 
-    A look takes as many steps as a path has parts, however many routes there
-    are. Of two routes with the same host and prefix the first by name counts.
+    The time of a lookup depends on the number of path segments, not on the
+    number of routes. If two routes have the same host and prefix, the first one
+    by name wins.
     """
 
-    __slots__ = ("_by_name", "_by_place", "_most_parts")
+    __slots__ = ("_by_name", "_by_prefix", "_max_segments")
 
     def __init__(self, routes: Iterable[Route] = ()):
-        """Takes in routes.
+        """Indexes routes.
 
         Args:
-          routes: all of them; their names differ.
+          routes: all routes, with unique names.
         """
         self._by_name = {route.name: route for route in routes}
-        self._by_place: dict[tuple[str, str], Route] = {}
-        # Most slashes of a prefix, so that a path of many is not tried whole.
-        self._most_parts = 0
+        self._by_prefix: dict[tuple[str, str], Route] = {}
+        # Highest number of slashes in a prefix; bounds the lookups of a path.
+        self._max_segments = 0
         self._rebuild()
 
     def __iter__(self) -> Iterator[Route]:
@@ -207,16 +216,16 @@
         """Returns the route with the longest prefix of a path, or None.
 
         Args:
-          host: name in lower case, without a port.
+          host: host name in lower case, without a port.
           path: path of the request, without its query.
         """
         ends: list[int] = []
         end = path.find("/")
-        while end >= 0 and len(ends) < self._most_parts:
+        while end >= 0 and len(ends) < self._max_segments:
             ends.append(end + 1)
             end = path.find("/", end + 1)
         for end in reversed(ends):
-            route = self._by_place.get((host, path[:end]))
+            route = self._by_prefix.get((host, path[:end]))
             if route is not None:
                 return route
         return None
@@ -224,42 +233,43 @@
     def change(
         self, changed: Iterable[Route], removed: Iterable[str]
     ) -> "RouteIndex":
-        """Returns the index after a change; this one stays as it is.
+        """Returns an index with changes; this one is not modified.
 
         Args:
-          changed: new routes, and those that replace one of the same name.
-          removed: names of routes that are gone.
+          changed: new routes, and replacements for routes of the same name.
+          removed: names of routes to remove.
         """
         index = RouteIndex()
         index._by_name = dict(self._by_name)
-        index._by_place = dict(self._by_place)
-        index._most_parts = self._most_parts
+        index._by_prefix = dict(self._by_prefix)
+        index._max_segments = self._max_segments
         for name in removed:
             index._remove(name)
         for route in changed:
             index._remove(route.name)
             index._by_name[route.name] = route
-            index._place(route)
-        doubled = len(index._by_place) != len(index._by_name)
-        if doubled or len(self._by_place) != len(self._by_name):
+            index._insert(route)
+        # A route may hide another one with the same host and prefix.
+        has_duplicates = len(index._by_prefix) != len(index._by_name)
+        if has_duplicates or len(self._by_prefix) != len(self._by_name):
             index._rebuild()
         return index
 
     def _remove(self, name: str) -> None:
         gone = self._by_name.pop(name, None)
         if gone is not None:
-            self._by_place.pop((gone.host, gone.path_prefix), None)
+            self._by_prefix.pop((gone.host, gone.path_prefix), None)
 
-    def _place(self, route: Route) -> None:
-        self._by_place[route.host, route.path_prefix] = route
-        parts = route.path_prefix.count("/")
-        self._most_parts = max(self._most_parts, parts)
+    def _insert(self, route: Route) -> None:
+        self._by_prefix[route.host, route.path_prefix] = route
+        segments = route.path_prefix.count("/")
+        self._max_segments = max(self._max_segments, segments)
 
     def _rebuild(self) -> None:
-        self._by_place = {}
-        self._most_parts = 0
+        self._by_prefix = {}
+        self._max_segments = 0
         for name in sorted(self._by_name, reverse=True):
-            self._place(self._by_name[name])
+            self._insert(self._by_name[name])
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -267,11 +277,11 @@
     """One version of the configuration.
 
     Attributes:
-      version: rises with each accepted change.
+      version: increases with each accepted change.
       routes: all routes.
       services: by name.
-      keys: workspace by key; None where no request needs a key.
-      bounds: what callers may send.
+      keys: workspace by API key; None if no request needs a key.
+      bounds: limits on callers.
     """
 
     version: int
@@ -284,7 +294,7 @@
         """Returns the route with the longest prefix of a path, or None.
 
         Args:
-          host: value of the host header, with or without a port.
+          host: value of the Host header, with or without a port.
           path: path of the request, without its query.
         """
         return self.routes.find(host.partition(":")[0].lower(), path)
--- a/rhubarblock/core/statement.py
+++ b/rhubarblock/core/statement.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself beside an answer."""
+"""What an endpoint states about itself in its response headers."""
 
 import dataclasses
 
@@ -7,12 +7,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StatedCooldown:
-    """For how long an endpoint that turned a request away wants no other.
+    """Cool-down that an endpoint asks for when it rejects a request.
 
     Attributes:
-      length_s: seconds from its answer on; None where it names none that can be
-        read.
-      unreadable: the text that is no length; empty where there is none.
+      length_s: seconds from the response on; None if the headers state no valid
+        length.
+      unreadable: text of an invalid length, else empty.
     """
 
     length_s: float | None = None
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Statement:
-    """What the head of one answer says of its endpoint.
+    """What the headers of one response state about the endpoint.
 
     Attributes:
-      limit: requests a second that it takes from all instances together.
-      cooldown: for how long it wants nothing from this instance.
-      is_leaving: whether it is about to end and wants no new work.
-      unknown: names of fields about the endpoint that the adapter doesn't know.
+      limit: rate limit for the requests of all instances together.
+      cooldown: cool-down during which this instance must not send requests.
+      is_leaving: whether it is about to stop and accepts no new requests.
+      unknown: names of endpoint header fields unknown to the adapter.
     """
 
     limit: ratelimits.StatedLimit = ratelimits.NO_STATED_LIMIT
--- a/rhubarblock/core/verdict.py
+++ b/rhubarblock/core/verdict.py
@@ -1,7 +1,7 @@
-"""Says whether a request may have run.
+"""Verdicts on whether a request may have run.
 
 Every attempt and every answer to a caller carries one of these values. Retry
-decisions rest on them alone, so a wrong ``NOT_RUN`` would break the promise
+decisions depend on them alone, so a wrong ``NOT_RUN`` would break the guarantee
 that a non-idempotent request runs at most once.
 """
 
@@ -17,14 +17,15 @@
 
 
 def combine(first: Verdict, second: Verdict) -> Verdict:
-    """Returns the verdict of a request that made two attempts.
+    """Returns the verdict on a request after two attempts.
 
     Args:
-      first: the verdict of the earlier attempts together.
-      second: the verdict of the later attempt.
+      first: combined verdict on the earlier attempts.
+      second: verdict on the later attempt.
 
     Returns:
-      RAN when one attempt certainly ran, NOT_RUN only when neither did.
+      RAN if an attempt certainly ran, NOT_RUN only if none did, else
+      MAY_HAVE_RUN.
     """
     if Verdict.RAN in (first, second):
         return Verdict.RAN
