--- a/rhubarblock/kernel/__init__.py
+++ b/rhubarblock/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Timers, plug-in registry, instance life, metrics, logs and audit."""
+"""Timers, plug-in registry, instance lifecycle, metrics and logs."""
--- a/rhubarblock/kernel/countlog.py
+++ b/rhubarblock/kernel/countlog.py
@@ -1,7 +1,7 @@
-"""Leaves what an instance counts in its log as well.
+"""Writes the counters of an instance to its log at regular intervals.
 
-Whoever looks at two hundred instances has their logs, and scraping each of
-them costs more than the one line here.
+The logs of two hundred instances are collected anyway, and scraping each
+instance costs more than one log line.
 """
 
 from collections.abc import Callable
@@ -12,8 +12,8 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds between two lines: an instance that is killed takes at most so much
-# of its counters along, and a line takes a tenth of a millisecond.
+# Seconds between two lines. A killed instance loses the counts of one interval
+# at most, and writing a line takes a tenth of a millisecond.
 INTERVAL_S = 5.0
 MESSAGE = "counters"
 
@@ -27,10 +27,10 @@
     timers: timer_service.Timers,
     interval_s: float = INTERVAL_S,
 ) -> Iterator[None]:
-    """Writes all counters since the start regularly while the context is open.
+    """Logs all counters since the start at intervals while the context is open.
 
     Args:
-      metrics: what is counted.
+      metrics: holds the counters.
       read_wakeups: returns how often timers woke the process.
       timers: the timer service.
       interval_s: seconds between two lines.
--- a/rhubarblock/kernel/countlog_test.py
+++ b/rhubarblock/kernel/countlog_test.py
@@ -6,7 +6,7 @@
 from rhubarblock.kernel import virtualloop
 
 
-def test_counters_since_the_start_are_written_regularly(caplog):
+def test_counters_since_the_start_are_logged_at_each_interval(caplog):
     metrics = metric_store.Metrics()
 
     async def main():
--- a/rhubarblock/kernel/exposition.py
+++ b/rhubarblock/kernel/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms as text, for whoever scrapes them.
+"""Renders the metrics in the Prometheus text format.
 
-The library that writes the format is loaded with the first question, as most
-instances are never asked and a start is charged.
+The Prometheus client is imported on the first scrape: most instances are never
+scraped, and its import would add to the charged cost of every start.
 """
 
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 class _Collector:
-    """Gives the library what the metrics hold at the moment of asking."""
+    """Passes the current metrics to the Prometheus client."""
 
     def __init__(self, metrics: metric_store.Metrics):
         self._metrics = metrics
@@ -23,12 +23,14 @@
         from prometheus_client import core
 
         for name, total in sorted(self._metrics.counts.items()):
-            yield core.CounterMetricFamily(_spell(name), name, value=total)
+            yield core.CounterMetricFamily(
+                _format_name(name), name, value=total
+            )
         for name, value in sorted(self._metrics.gauges.items()):
-            yield core.GaugeMetricFamily(_spell(name), name, value=value)
+            yield core.GaugeMetricFamily(_format_name(name), name, value=value)
         for name, by_kind in sorted(self._metrics.histograms.items()):
             family = core.HistogramMetricFamily(
-                _spell(name) + "_seconds", name, labels=["kind"]
+                _format_name(name) + "_seconds", name, labels=["kind"]
             )
             for kind, histogram in sorted(by_kind.items()):
                 family.add_metric(
@@ -38,7 +40,7 @@
 
 
 def render(metrics: metric_store.Metrics) -> bytes:
-    """Returns all metrics as text."""
+    """Returns all metrics in the Prometheus text format."""
     import prometheus_client
 
     registry = prometheus_client.CollectorRegistry()
@@ -47,5 +49,5 @@
     return text
 
 
-def _spell(name: str) -> str:
+def _format_name(name: str) -> str:
     return PREFIX + name.replace(".", "_")
--- a/rhubarblock/kernel/exposition_test.py
+++ b/rhubarblock/kernel/exposition_test.py
@@ -2,7 +2,7 @@
 from rhubarblock.kernel import metrics as metric_store
 
 
-def test_metrics_are_written_as_text():
+def test_metrics_are_rendered_in_the_prometheus_format():
     metrics = metric_store.Metrics()
     metrics.count("exchange.served", 3)
     metrics.gauge("exchange.in_flight", 2)
@@ -35,5 +35,5 @@
     ]
 
 
-def test_nothing_counted_is_no_text():
+def test_empty_metrics_render_as_empty_text():
     assert exposition.render(metric_store.Metrics()) == b""
--- a/rhubarblock/kernel/lifecycle.py
+++ b/rhubarblock/kernel/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of an entry instance: starting, ready, draining, stopped.
+"""The lifecycle of an entry instance: starting, ready, draining, stopped.
 
-It counts the requests in flight, so that a planned stop refuses new work,
-waits for the rest and cuts nothing.
+It counts the requests in flight, so that a planned stop can reject new requests
+and wait for those in flight instead of aborting them.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class LifecycleState(enum.Enum):
-    """Where an instance is in its life."""
+    """State in the lifecycle of an instance."""
 
     STARTING = "starting"
     READY = "ready"
@@ -29,7 +29,7 @@
 
 Hook = Callable[[LifecycleState, LifecycleState], None]
 
-# A caller that is refused goes to another instance, so it need not wait long.
+# A rejected caller retries at another instance, so it need not wait long.
 RETRY_AFTER_S = 1.0
 
 _TRANSITIONS: list[Any] = [
@@ -45,9 +45,9 @@
 
 
 class InstanceLifecycle:
-    """State of one instance and the count of its requests in flight.
+    """State of one instance and the number of its requests in flight.
 
-    A step that the present state does not allow raises
+    A transition that the current state does not allow raises
     ``transitions.MachineError``.
     """
 
@@ -67,28 +67,28 @@
 
     @property
     def state(self) -> LifecycleState:
-        """The present state."""
+        """The current state."""
         return self._machine.state
 
     @property
     def in_flight(self) -> int:
-        """Requests that began and have not ended."""
+        """Number of requests that began and have not ended."""
         return self._in_flight
 
     def add_hook(self, hook: Hook) -> None:
-        """Calls ``hook(before, after)`` at each later change of state."""
+        """Calls ``hook(before, after)`` on each later change of state."""
         self._hooks.append(hook)
 
     def mark_ready(self) -> None:
-        """Says that the instance can serve."""
+        """Marks the instance as ready to serve."""
         self._trigger("mark_ready")
 
     def start_drain(self) -> None:
-        """Refuses new requests from now on; repeating it is harmless."""
+        """Rejects new requests from now on; repeated calls have no effect."""
         self._trigger("start_drain")
 
     def mark_stopped(self) -> None:
-        """Says that the instance has ended."""
+        """Marks the instance as stopped."""
         self._trigger("mark_stopped")
 
     @contextlib.contextmanager
@@ -99,7 +99,7 @@
           Nothing.
 
         Raises:
-          failure.FailureError: the instance takes no requests; NOT_RUN.
+          failure.FailureError: the instance accepts no requests; NOT_RUN.
         """
         self._check_ready()
         with self.track_request():
@@ -107,10 +107,10 @@
 
     @contextlib.contextmanager
     def track_request(self) -> Iterator[None]:
-        """Counts a request as in flight, whatever the state.
+        """Counts a request as in flight in any state.
 
-        Where callers reach an instance through a balancer that needs a while to
-        see that it drains, what still arrives is served.
+        A load balancer takes a while to notice that an instance drains;
+        requests that it still sends are served.
 
         Yields:
           Nothing.
@@ -125,13 +125,13 @@
                 self._idle.set()
 
     async def drain(self, deadline_s: float) -> bool:
-        """Refuses new requests and waits for those in flight.
+        """Rejects new requests and waits for those in flight.
 
         Args:
-          deadline_s: longest wait in seconds from now.
+          deadline_s: maximum wait, in seconds from now.
 
         Returns:
-          Whether the last request ended in time.
+          Whether all requests ended in time.
         """
         self.start_drain()
         try:
@@ -159,9 +159,9 @@
             )
         )
 
-    def _trigger(self, step: str) -> None:
+    def _trigger(self, trigger: str) -> None:
         before = self.state
-        self._machine.trigger(step)
+        self._machine.trigger(trigger)
         after = self.state
         if after is before:
             return
@@ -173,18 +173,18 @@
     logger: logging.Logger,
     lifecycle: InstanceLifecycle,
     instance_id: str,
-    step: Callable[[], None],
+    trigger: Callable[[], None],
 ) -> None:
-    """Takes a step of a life and writes the line of its change.
+    """Triggers a transition of an instance and logs the change of state.
 
     Args:
-      logger: logger of the module that takes it.
-      lifecycle: the life.
-      instance_id: whose life it is.
-      step: such as ``lifecycle.mark_ready``.
+      logger: logger of the calling module.
+      lifecycle: state of the instance.
+      instance_id: id of the instance.
+      trigger: method to call, such as ``lifecycle.mark_ready``.
     """
     before = lifecycle.state.value
-    step()
+    trigger()
     logs.log_state_change(
         logger,
         f"instance {instance_id}",
--- a/rhubarblock/kernel/lifecycle_test.py
+++ b/rhubarblock/kernel/lifecycle_test.py
@@ -9,7 +9,7 @@
 from rhubarblock.kernel import virtualloop
 
 
-def test_hooks_see_the_whole_life():
+def test_hooks_receive_every_change_of_state():
     lifecycle = lifecycles.InstanceLifecycle()
     seen = []
     lifecycle.add_hook(lambda before, after: seen.append((before, after)))
@@ -33,17 +33,17 @@
 
 
 @pytest.mark.parametrize(
-    ("step", "code"),
+    ("trigger", "code"),
     [
         (None, failures.FailureCode.NO_ENDPOINT),
         ("start_drain", failures.FailureCode.DRAINING),
         ("mark_stopped", failures.FailureCode.DRAINING),
     ],
 )
-def test_only_a_ready_instance_begins_requests(step, code):
+def test_only_a_ready_instance_begins_requests(trigger, code):
     lifecycle = lifecycles.InstanceLifecycle()
-    if step:
-        getattr(lifecycle, step)()
+    if trigger:
+        getattr(lifecycle, trigger)()
     with (
         pytest.raises(failures.FailureError) as caught,
         lifecycle.begin_request(),
@@ -68,9 +68,9 @@
         tasks = [asyncio.create_task(serve(s)) for s in (1, 5)]
         await asyncio.sleep(0)
         in_time = await lifecycle.drain(2)
-        cut_off = list(ended)
+        ended_by_deadline = list(ended)
         finished = await lifecycle.drain(10)
         await asyncio.gather(*tasks)
-        return in_time, cut_off, finished, ended
+        return in_time, ended_by_deadline, finished, ended
 
     assert virtualloop.run(main()) == (False, [1], True, [1, 5])
--- a/rhubarblock/kernel/linebudget.py
+++ b/rhubarblock/kernel/linebudget.py
@@ -1,79 +1,80 @@
-"""How many log lines a second an instance may write, and which go first.
+"""Rate limit for the log lines of an instance.
 
-Under the worst load most lines tell the same. So each level may use a part of
-what a second allows: what was served well goes first, failures last. What was
-left out is counted by message and told with the next second.
+Under the highest load most lines have the same message. Each level may
+therefore use only a share of the lines per second, so that lines about served
+requests are dropped first and those about failures last. Dropped lines are
+counted by message, and the counts are logged in the next second.
 """
 
 from collections.abc import Callable
 import logging
 
-# Lines a second of one instance: three for each of some eighty requests that
-# it takes a second at the size that the project is built for.
+# Three lines for each of the eighty requests per second that one instance
+# serves at the size that the project is built for.
 LINES_PER_S = 250
-# Part of these that lines up to a level may use together with those below it.
-# The rest stays for what is worse.
-_PARTS = (
+# Share of the lines that a level may use together with all lower levels. The
+# remainder is reserved for higher levels.
+_LEVEL_SHARES = (
     (logging.DEBUG, 0.4),
     (logging.INFO, 0.7),
 )
 
 
 class LineBudget:
-    """Counts the lines of the present second."""
+    """Limits the lines of the current second."""
 
-    __slots__ = ("_left_out", "_lines_per_s", "_read_clock", "_second", "_used")
+    __slots__ = ("_dropped", "_lines_per_s", "_read_clock", "_second", "_used")
 
     def __init__(
         self, read_clock: Callable[[], float], lines_per_s: int = LINES_PER_S
     ):
-        """Starts with a whole second's lines.
+        """Starts with the full budget of a second.
 
         Args:
-          read_clock: monotonic seconds.
-          lines_per_s: lines of all levels a second.
+          read_clock: returns monotonic seconds.
+          lines_per_s: maximum number of lines per second, of all levels.
         """
         self._read_clock = read_clock
         self._lines_per_s = lines_per_s
         self._second = 0
         self._used = 0
-        self._left_out: dict[str, int] = {}
+        self._dropped: dict[str, int] = {}
 
     def take(self, level: int, message: str) -> bool:
-        """Takes one line; False if it is to be left out.
+        """Takes one line from the budget; returns False if it must be dropped.
 
         Args:
           level: level of the line.
-          message: its text without values, by which it is counted.
+          message: its text without values; dropped lines are counted by it.
         """
         second = int(self._read_clock())
         if second != self._second:
             self._second = second
             self._used = 0
-        if self._used >= self._find_bound(level):
-            self.count_left_out(message)
+        if self._used >= self._find_limit(level):
+            self.count_dropped(message)
             return False
         self._used += 1
         return True
 
-    def count_left_out(self, message: str) -> None:
-        """Counts a line that was not written."""
-        self._left_out[message] = self._left_out.get(message, 0) + 1
+    def count_dropped(self, message: str) -> None:
+        """Counts a line that is not written."""
+        self._dropped[message] = self._dropped.get(message, 0) + 1
 
-    def take_left_out(self) -> dict[str, int]:
-        """Returns how many lines were left out, by message, and forgets them.
+    def take_dropped(self) -> dict[str, int]:
+        """Returns the number of dropped lines by message, and resets it.
 
-        It is empty as long as lines of the present second are left out, so
-        that it is told once a second at most.
+        The result is empty until the second of the latest line has passed, so
+        that the numbers are logged at most once per second.
         """
-        if not self._left_out or int(self._read_clock()) == self._second:
+        if not self._dropped or int(self._read_clock()) == self._second:
             return {}
-        left_out = self._left_out
-        self._left_out = {}
-        return left_out
+        dropped = self._dropped
+        self._dropped = {}
+        return dropped
 
-    def _find_bound(self, level: int) -> float:
-        for upto, part in _PARTS:
-            if level <= upto:
-                return part * self._lines_per_s
+    def _find_limit(self, level: int) -> float:
+        for highest_level, share in _LEVEL_SHARES:
+            if level <= highest_level:
+                return share * self._lines_per_s
         return self._lines_per_s
--- a/rhubarblock/kernel/linebudget_test.py
+++ b/rhubarblock/kernel/linebudget_test.py
@@ -20,7 +20,7 @@
     return sum(budget.take(level, message) for _ in range(times))
 
 
-def test_what_was_served_leaves_room_for_failures():
+def test_lower_levels_leave_lines_for_failures():
     budget, _ = make_budget()
     assert take(budget, logging.DEBUG, "served", 50) == 4
     assert take(budget, logging.INFO, "attempt ended", 50) == 3
@@ -33,18 +33,18 @@
     assert take(budget, logging.DEBUG, "served", 1) == 0
 
 
-def test_each_second_has_its_own_lines():
+def test_budget_is_renewed_each_second():
     budget, clock = make_budget()
     take(budget, logging.WARNING, "request failed", 50)
     clock.now_s += 1.0
     assert take(budget, logging.WARNING, "request failed", 50) == 10
 
 
-def test_what_was_left_out_is_told_once_and_a_second_later():
+def test_dropped_lines_are_reported_once_in_the_next_second():
     budget, clock = make_budget()
     take(budget, logging.DEBUG, "served", 7)
     take(budget, logging.INFO, "attempt ended", 4)
-    assert budget.take_left_out() == {}
+    assert budget.take_dropped() == {}
     clock.now_s += 1.0
-    assert budget.take_left_out() == {"served": 3, "attempt ended": 1}
-    assert budget.take_left_out() == {}
+    assert budget.take_dropped() == {"served": 3, "attempt ended": 1}
+    assert budget.take_dropped() == {}
--- a/rhubarblock/kernel/logs.py
+++ b/rhubarblock/kernel/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line.
+"""Structured logs: one JSON object per line.
 
-A line is written for each decision that touches a request and for each change
-of what a process believes. Their number is bounded, and writing them keeps
-nobody waiting.
+A line is written for each decision about a request and for each change of the
+state that a process assumes. The number of lines per second is limited, and
+writing them never blocks the event loop.
 """
 
 import logging
@@ -21,7 +21,7 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines within a budget, through a queue."""
+    """Log handler that limits the rate of lines and queues them."""
 
     def __init__(
         self, writer: logwriter.LogWriter, budget: linebudget.LineBudget
@@ -30,7 +30,7 @@
 
         Args:
           writer: writes the lines; it is closed with the handler.
-          budget: how many there may be.
+          budget: limits the lines per second.
         """
         super().__init__()
         self._writer = writer
@@ -40,9 +40,9 @@
         )
 
     def emit(self, record: logging.LogRecord) -> None:
-        left_out = self._budget.take_left_out()
-        if left_out:
-            self._put(_make_left_out(left_out))
+        dropped = self._budget.take_dropped()
+        if dropped:
+            self._put(_make_dropped_record(dropped))
         if self._budget.take(record.levelno, str(record.msg)):
             self._put(record)
 
@@ -52,14 +52,14 @@
 
     def _put(self, record: logging.LogRecord) -> None:
         if not self._writer.put(self.format(record) + "\n"):
-            self._budget.count_left_out(str(record.msg))
+            self._budget.count_dropped(str(record.msg))
 
 
 def configure(level: str, stream: TextIO) -> logging.Logger:
     """Sends the project's log lines to a stream as JSON.
 
     Args:
-      level: least level to write, such as ``INFO``.
+      level: lowest level to write, such as ``INFO``.
       stream: where to write.
 
     Returns:
@@ -85,27 +85,27 @@
     after: str,
     **fields: Any,
 ) -> None:
-    """Writes the line of one change of state.
+    """Logs one change of state.
 
     Args:
-      logger: logger of the module that saw it.
+      logger: logger of the module that observed it.
       subject: what changed, such as ``endpoint rhubarb-pool-3``.
-      before: state left.
-      after: state entered.
+      before: previous state.
+      after: new state.
       **fields: further fields of the JSON object.
     """
     fields.update(subject=subject, before=before, after=after)
     logger.info("state changed", extra=fields)
 
 
-def _make_left_out(left_out: dict[str, int]) -> logging.LogRecord:
-    """Returns the line that tells which lines were left out."""
+def _make_dropped_record(dropped: dict[str, int]) -> logging.LogRecord:
+    """Returns the record that reports the dropped lines by message."""
     return logging.makeLogRecord(
         {
             "name": f"{ROOT_LOGGER}.kernel.logs",
             "levelno": logging.WARNING,
             "levelname": "WARNING",
             "msg": "lines left out",
-            "by_message": left_out,
+            "by_message": dropped,
         }
     )
--- a/rhubarblock/kernel/logs_test.py
+++ b/rhubarblock/kernel/logs_test.py
@@ -34,7 +34,7 @@
     ]
 
 
-def test_lines_over_the_budget_are_told_by_their_number():
+def test_lines_over_the_budget_are_dropped_and_counted():
     stream = io.StringIO()
     now_s = [0.0]
     writer = logwriter.LogWriter(logwriter.make_write(stream))
@@ -48,8 +48,8 @@
     now_s[0] = 1.0
     logger.info("store regained")
     handler.close()
-    told = [(d["message"], d.get("by_message")) for d in read_lines(stream)]
-    assert told == [
+    written = [(d["message"], d.get("by_message")) for d in read_lines(stream)]
+    assert written == [
         ("served", None),
         ("served", None),
         ("request failed", None),
--- a/rhubarblock/kernel/logwriter.py
+++ b/rhubarblock/kernel/logwriter.py
@@ -1,7 +1,7 @@
-"""Writes log lines without ever making the event loop wait.
+"""Writes log lines without blocking the event loop.
 
-Lines go through a bounded queue to a thread of their own. Whoever reads the
-output may be slow or gone: then the queue fills up, and lines are left out and
+Lines pass through a bounded queue to a thread of their own. If the reader of
+the output is slow or gone, the queue fills up and further lines are dropped and
 counted.
 """
 
@@ -11,20 +11,20 @@
 import threading
 from typing import TextIO
 
-# Lines that wait to be written: four seconds of the budget, a megabyte at
-# most with lines of some hundred bytes.
+# Maximum number of queued lines: four seconds of the line budget, and at most a
+# megabyte with lines of some hundred bytes.
 QUEUE_LINES = 1000
-# Seconds that the lines in the queue get to be written when a process ends.
+# Seconds for writing the queued lines when the process ends.
 CLOSE_S = 0.3
 
 Write = Callable[[str], None]
 
 
 def make_write(stream: TextIO) -> Write:
-    """Returns what writes text to a stream.
+    """Returns a function that writes text to a stream.
 
-    A stream with a descriptor is written past its buffer, whose lock would
-    keep the process from ending while nobody reads.
+    It bypasses the buffer of a stream with a file descriptor, as the buffer's
+    lock would keep the process from ending while nobody reads the output.
     """
     try:
         descriptor = stream.fileno()
@@ -53,8 +53,8 @@
         """Starts the thread.
 
         Args:
-          write: writes text; may block for as long as it likes.
-          queue_lines: lines that may wait.
+          write: writes text; may block for any time.
+          queue_lines: maximum number of queued lines.
         """
         self._write = write
         self._lines: queue.Queue[str | None] = queue.Queue(queue_lines)
@@ -64,7 +64,7 @@
         self._thread.start()
 
     def put(self, line: str) -> bool:
-        """Queues a line; False if there is no room for it."""
+        """Queues a line; returns False if the queue is full."""
         try:
             self._lines.put_nowait(line)
         except queue.Full:
@@ -72,7 +72,7 @@
         return True
 
     def close(self) -> None:
-        """Gives what is queued a moment to be written, then lets it be."""
+        """Waits briefly for queued lines to be written, then gives up."""
         try:
             self._lines.put(None, timeout=CLOSE_S)
         except queue.Full:
@@ -87,5 +87,5 @@
             try:
                 self._write(line)
             except (OSError, ValueError):
-                # Nobody is there to be told: the output itself is gone.
+                # The error cannot be logged, as the log output is gone.
                 return
--- a/rhubarblock/kernel/logwriter_test.py
+++ b/rhubarblock/kernel/logwriter_test.py
@@ -14,7 +14,7 @@
     assert stream.getvalue() == "one\ntwo\n"
 
 
-def test_output_that_nobody_reads_keeps_nobody_waiting():
+def test_output_that_nobody_reads_does_not_block_put_and_close():
     reader, output = os.pipe()
     os.set_blocking(reader, False)
     try:
@@ -24,12 +24,12 @@
             )
             # A pipe holds 64 KiB; the queue fills up behind it.
             line = "x" * 8191 + "\n"
-            taken = 0
+            queued = 0
             for _ in range(100):
-                taken += writer.put(line)
-            assert 20 <= taken < 100
+                queued += writer.put(line)
+            assert 20 <= queued < 100
             writer.close()
-            # What is read now frees the thread, which ends by itself.
+            # Reading the pipe unblocks the thread, which then ends.
             while _read(reader):
                 pass
     finally:
@@ -43,7 +43,7 @@
         return b""
 
 
-def test_output_that_is_gone_ends_the_thread():
+def test_failed_write_ends_the_thread():
     written = threading.Event()
 
     def write(text):
--- a/rhubarblock/kernel/metrics.py
+++ b/rhubarblock/kernel/metrics.py
@@ -1,8 +1,8 @@
 """Counters, gauges and timings.
 
-They are kept in memory, where a count costs one dictionary update, and go to
-statsd over UDP once an interval. Counting per event over the network would
-cost more than the relay of the event itself.
+They are kept in memory, where counting costs one dictionary update, and are
+sent to statsd over UDP once per interval. Sending each event over the network
+would cost more than relaying the event itself.
 """
 
 import bisect
@@ -23,9 +23,9 @@
     """Summary of the durations of one name since the last flush.
 
     Attributes:
-      count: durations recorded.
+      count: number of durations.
       total_s: their sum in seconds.
-      longest_s: the longest in seconds.
+      longest_s: the longest one in seconds.
     """
 
     count: int = 0
@@ -44,13 +44,13 @@
         return self.total_s / self.count if self.count else 0.0
 
 
-# Upper bounds of the buckets of a histogram, in seconds: from a pass of an
-# engine to the longest time that a caller waits.
+# Upper bounds of the histogram buckets in seconds, from one pass of an engine
+# to the maximum time that a caller waits.
 BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 5.0, 10.0, 15.0)
 
 
 class Histogram:
-    """Durations of one name and kind, by buckets.
+    """Histogram of the durations of one name and kind.
 
     Attributes:
       total_s: their sum in seconds.
@@ -68,7 +68,7 @@
         self.total_s += seconds
 
     def list_buckets(self) -> list[tuple[str, int]]:
-        """Returns upper bounds and the durations up to each, all at last."""
+        """Returns each upper bound with the cumulative number of durations."""
         bounds = [*map(str, BUCKETS_S), "+Inf"]
         return list(
             zip(bounds, itertools.accumulate(self._counts), strict=True)
@@ -76,7 +76,7 @@
 
 
 class Metrics:
-    """What one instance counts about itself.
+    """Metrics of one instance.
 
     Attributes:
       counts: totals since the start, by name.
@@ -139,7 +139,7 @@
         return values
 
     def flush(self, client: statsd.StatsClient) -> None:
-        """Sends what changed since the last flush in few datagrams.
+        """Sends gauges and changes since the last flush in few datagrams.
 
         Args:
           client: statsd client; a lost datagram loses one interval.
@@ -166,12 +166,12 @@
     client: statsd.StatsClient,
     interval_s: float,
 ) -> Iterator[None]:
-    """Flushes once an interval while the context is open, and at its end.
+    """Flushes once per interval while the context is open, and when it closes.
 
     Args:
-      metrics: what to send.
+      metrics: metrics to send.
       timers: the timer service.
-      client: where to send it; it is closed with the context.
+      client: statsd client; it is closed with the context.
       interval_s: seconds between flushes.
 
     Yields:
--- a/rhubarblock/kernel/metrics_test.py
+++ b/rhubarblock/kernel/metrics_test.py
@@ -27,7 +27,7 @@
     }
 
 
-def test_flushes_send_increases_once_over_udp():
+def test_flush_sends_each_increase_once_over_udp():
     metrics = make_filled()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
@@ -70,7 +70,7 @@
         self.closed = True
 
 
-def test_regular_flushes_end_with_a_last_one():
+def test_closing_flushes_the_remaining_counts():
     async def main():
         clock = timers.LoopTimers(wall_offset_s=0.0)
         client = RecordingClient()
--- a/rhubarblock/kernel/registry.py
+++ b/rhubarblock/kernel/registry.py
@@ -1,8 +1,8 @@
 """The registry of plug-ins.
 
-A plug-in module names its classes in ``__plugins__``; the registry imports the
-modules that it is given and files each class under its group and name. The
-kernel therefore knows no plug-in, and a new one needs no change elsewhere.
+A plug-in module lists its classes in ``__plugins__``; the registry imports the
+given modules and registers each class under its group and name. The kernel
+therefore depends on no plug-in, and a new one needs no change elsewhere.
 """
 
 from collections.abc import Iterable
@@ -16,11 +16,11 @@
 
 
 class RegistryError(Exception):
-    """A plug-in is missing, doubled or declared wrongly."""
+    """A plug-in is missing, duplicated or declared incorrectly."""
 
 
 class UnknownPluginError(RegistryError):
-    """No plug-in of a group has the wanted name."""
+    """No plug-in of a group has the requested name."""
 
     def __init__(self, group: str, name: str, known: tuple[str, ...]):
         choices = ", ".join(known) or "none"
@@ -31,7 +31,7 @@
 
 
 class DuplicatePluginError(RegistryError):
-    """Two classes claim the same group and name."""
+    """Two classes declare the same group and name."""
 
     def __init__(self, first: type, second: type):
         group, name = second.plugin_group, second.plugin_name  # type: ignore
@@ -42,7 +42,7 @@
 
 
 class InvalidPluginError(RegistryError):
-    """A module or class does not declare what the registry needs."""
+    """A module or class lacks a declaration that the registry needs."""
 
 
 def _format_class(plugin: type) -> str:
@@ -68,14 +68,13 @@
     def load(self, module_names: Iterable[str]) -> None:
         """Imports modules and registers the classes that they declare.
 
-        Modules without ``__plugins__`` are helpers of others and are passed
-        over.
+        Modules without ``__plugins__`` are helpers of plug-ins and are skipped.
 
         Args:
           module_names: full names of the modules.
 
         Raises:
-          RegistryError: a class is missing, incomplete or doubled.
+          RegistryError: a class is missing, incomplete or duplicated.
         """
         for module_name in module_names:
             module = importlib.import_module(module_name)
@@ -89,13 +88,13 @@
                 self.register(plugin)
 
     def register(self, plugin: type) -> None:
-        """Registers one class; registering the same one again is harmless.
+        """Registers one class; registering the same one again has no effect.
 
         Args:
           plugin: class with ``plugin_group`` and ``plugin_name``.
 
         Raises:
-          RegistryError: the class is incomplete, or its name is taken.
+          RegistryError: the class is incomplete, or another one has its name.
         """
         group = getattr(plugin, "plugin_group", None)
         name = getattr(plugin, "plugin_name", None)
@@ -103,9 +102,9 @@
             raise InvalidPluginError(
                 f"{_format_class(plugin)} lacks plugin_group or plugin_name"
             )
-        present = self._groups.setdefault(group, {}).setdefault(name, plugin)
-        if present is not plugin:
-            raise DuplicatePluginError(present, plugin)
+        registered = self._groups.setdefault(group, {}).setdefault(name, plugin)
+        if registered is not plugin:
+            raise DuplicatePluginError(registered, plugin)
 
     def get(self, group: str, name: str) -> Any:
         """Returns the class of a plug-in.
@@ -115,7 +114,7 @@
           name: name within the group.
 
         Raises:
-          UnknownPluginError: there is none of that name.
+          UnknownPluginError: the group has no plug-in of that name.
         """
         plugin = self._groups.get(group, {}).get(name)
         if plugin is None:
--- a/rhubarblock/kernel/registry_test.py
+++ b/rhubarblock/kernel/registry_test.py
@@ -48,7 +48,7 @@
     assert str(caught.value) == "unknown policy 'slow'; known: fast"
 
 
-def test_two_classes_of_one_name_are_refused(make_module):
+def test_two_classes_with_the_same_name_are_rejected(make_module):
     plugins = registry.Registry()
     names = make_module(__plugins__=("Fast", "Rival"), Fast=Fast, Rival=Rival)
     with pytest.raises(registry.DuplicatePluginError, match="policy 'fast'"):
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("name", ["Missing", "Nameless"])
-def test_incomplete_declarations_are_refused(make_module, name):
+def test_incomplete_declarations_are_rejected(make_module, name):
     plugins = registry.Registry()
     with pytest.raises(registry.InvalidPluginError, match=name):
         plugins.load(make_module(__plugins__=(name,), Nameless=Nameless))
--- a/rhubarblock/kernel/timers.py
+++ b/rhubarblock/kernel/timers.py
@@ -1,8 +1,8 @@
 """The timer service: the only source of time.
 
-Parts ask it for the clock, sleep on it and subscribe to ticks. It follows the
-running event loop, so under ``kernel.virtualloop`` the same code runs on a
-fake clock and gives the same order of events each time.
+All other modules read the clock, sleep and subscribe to periodic calls through
+it. It uses the clock of the running event loop, so under ``kernel.virtualloop``
+the same code runs on a simulated clock with a reproducible order of events.
 """
 
 import abc
@@ -19,15 +19,15 @@
 
 
 class Timers(abc.ABC):
-    """Clock, sleeps and subscriptions."""
+    """Clock, sleeps and periodic calls."""
 
     @abc.abstractmethod
     def read_monotonic(self) -> float:
-        """Returns seconds of a clock that never goes back."""
+        """Returns the seconds of a monotonic clock."""
 
     @abc.abstractmethod
     def read_wall(self) -> float:
-        """Returns seconds since 1970, for records that people read."""
+        """Returns the Unix time in seconds, for records that people read."""
 
     @abc.abstractmethod
     async def sleep(self, delay_s: float) -> None:
@@ -46,25 +46,27 @@
         callback: Callable[[], Awaitable[None]],
         jitter: random.Random | None = None,
     ) -> Iterator[asyncio.Task[None]]:
-        """Awaits a callback at a steady interval while the context is open.
+        """Awaits a callback periodically while the context is open.
 
         Args:
           interval_s: seconds between the end of one call and the next one.
-          callback: coroutine function; what it raises is logged, and the
-            next call comes all the same, since one failure must not end a
-            heartbeat for good.
-          jitter: spreads each interval evenly between half and one and a half.
+          callback: coroutine function; an exception is logged and does not
+            prevent the next call, since one failure must not end a heartbeat
+            for good.
+          jitter: draws a factor from 0.5 to 1.5 for each interval, or None.
 
         Yields:
-          The task that runs the ticks.
+          The task that makes the calls.
         """
-        task = asyncio.ensure_future(self._tick(interval_s, callback, jitter))
+        task = asyncio.ensure_future(
+            self._call_periodically(interval_s, callback, jitter)
+        )
         try:
             yield task
         finally:
             task.cancel()
 
-    async def _tick(
+    async def _call_periodically(
         self,
         interval_s: float,
         callback: Callable[[], Awaitable[None]],
@@ -83,7 +85,7 @@
     """Timers of the running event loop, real or virtual.
 
     Attributes:
-      wakeups: sleeps and callbacks that were asked for, each of which wakes
+      wakeups: number of requested sleeps and callbacks, each of which wakes
         the process.
     """
 
@@ -94,7 +96,7 @@
 
         Args:
           wall_offset_s: wall clock minus monotonic clock in seconds; None
-            reads the machine's wall clock.
+            uses the machine's wall clock.
         """
         self._wall_offset_s = wall_offset_s
         self.wakeups = 0
--- a/rhubarblock/kernel/virtualloop.py
+++ b/rhubarblock/kernel/virtualloop.py
@@ -1,8 +1,8 @@
-"""An event loop on a fake clock.
+"""An event loop with a simulated clock.
 
-When nothing is ready to run, the clock jumps to the next timer. Sessions of
-minutes take as long as their computation, and the order of events depends only
-on the program and its seeds. Sockets are never polled, so only in-memory
+When nothing is ready to run, the clock jumps to the next timer. A simulation of
+minutes takes only the time of its computation, and the order of events depends
+only on the program and its seeds. Sockets are never polled, so only in-memory
 transports work on it.
 """
 
@@ -16,11 +16,11 @@
 
 
 class DeadlockError(RuntimeError):
-    """Every task waits for something that no timer will bring about."""
+    """Every task waits and no timer is set that could wake one."""
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Instead of waiting for sockets it moves the clock of its loop."""
+    """Advances the clock of its loop instead of waiting for sockets."""
 
     loop: "VirtualLoop"
 
@@ -47,18 +47,18 @@
         return self._virtual_s
 
     def advance(self, delay_s: float) -> None:
-        """Moves the clock forward by a number of seconds."""
+        """Advances the clock by a number of seconds."""
         self._virtual_s += delay_s
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Runs a coroutine to its end on a new virtual loop.
+    """Runs a coroutine to completion on a new virtual loop.
 
     Args:
       main: the coroutine.
 
     Returns:
-      What the coroutine returned.
+      The result of the coroutine.
     """
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/rhubarblock/kernel/virtualloop_test.py
+++ b/rhubarblock/kernel/virtualloop_test.py
@@ -15,7 +15,7 @@
     assert virtualloop.run(main()) == (3600.0, 3700.0)
 
 
-def test_waiting_for_nothing_is_an_error():
+def test_waiting_without_a_timer_is_an_error():
     async def main():
         await asyncio.Event().wait()
 
@@ -23,7 +23,7 @@
         virtualloop.run(main())
 
 
-def test_subscription_ticks_until_its_context_ends():
+def test_subscription_calls_back_until_its_context_ends():
     async def main():
         clock = timers.LoopTimers(wall_offset_s=0.0)
         ticks = []
@@ -39,7 +39,7 @@
     assert virtualloop.run(main()) == [2.0, 4.0]
 
 
-def test_subscription_outlives_a_failed_call(caplog):
+def test_subscription_continues_after_a_failed_call(caplog):
     async def main():
         clock = timers.LoopTimers(wall_offset_s=0.0)
         calls = []
