--- a/rhubarblock/platform/__init__.py
+++ b/rhubarblock/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapter to the users' platform: its names, formats and calls.
 
-Each name on the wire is decoded here once into the product's types. Nothing
-here decides what is done with a request.
+Only this package converts between the platform's wire formats and the product's
+types. It makes no decisions about requests.
 """
--- a/rhubarblock/platform/configuration.py
+++ b/rhubarblock/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the list of endpoints, decoded."""
+"""Decodes the operator's configuration and the list of endpoints."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -13,29 +13,29 @@
 from rhubarblock.store import store as stores
 
 _MS_PER_S = 1000.0
-# States of an entry.
+# States of an endpoint's entry.
 _READY = "ready"
 _DRAINING = "draining"
 _STATES = frozenset({_READY, _DRAINING})
-# Longest name of a service or data centre that is believed, in characters; a
-# host name has 253 at the most.
-_LONGEST_TEXT = 255
-# Characters of an unknown word that an error shows.
-_SHOWN_TEXT = 40
-# Most requests at once that are believed of one endpoint; today's take 16.
-_MOST_SLOTS = 10_000
-# Counts and milliseconds beyond it lose digits in other languages' decoders.
-_MOST_COUNT = 2**53
-_MOST_PORT = 65_535
+# Maximum length of the name of a service or data centre, in characters; a host
+# name has at most 253.
+_MAX_TEXT_LENGTH = 255
+# Characters of an unknown state that an error message shows.
+_SHOWN_TEXT_LENGTH = 40
+# Maximum number of slots accepted for one endpoint; current ones have 16.
+_MAX_SLOTS = 10_000
+# Larger counts and times lose digits in decoders of other languages.
+_MAX_COUNT = 2**53
+_MAX_PORT = 65_535
 _PORT_DIGITS = 5
 
-# Parts of a configuration that list entries by name; the others are one piece.
+# Sections that are split into one piece per entry; others are a single piece.
 _ROUTES = "routes"
 _SERVICES = "services"
 _TENANTS = "tenants"
 _SECTIONS = (_ROUTES, _SERVICES, _TENANTS)
 _LIMITS = "limits"
-# The same entry must have the same text whichever instance wrote it.
+# Encodes an entry as the same text on every instance.
 _ENCODER = json.JSONEncoder(separators=(",", ":"), sort_keys=True)
 
 _KINDS = {
@@ -46,10 +46,10 @@
 
 
 def split(value: bytes) -> dialects.ConfigurationText:
-    """Splits the content of the configuration's object into its pieces.
+    """Splits the content of the configuration object into pieces.
 
     Raises:
-      ValueError: it can't be read.
+      ValueError: the content is invalid.
     """
     try:
         fields = json.loads(value)
@@ -74,7 +74,7 @@
     """Adds a piece for each entry of a section.
 
     Raises:
-      ValueError: two have the same name, so that one would hide the other.
+      ValueError: two entries have the same name, so one would hide the other.
     """
     for entry in entries:
         name = f"{section}/{entry['name']}"
@@ -88,15 +88,15 @@
     document: documents.Document,
     difference: documents.Difference,
 ) -> routes.RoutingTable:
-    """Decodes what changed in a configuration.
+    """Returns a changed routing table; decodes only the changed pieces.
 
     Args:
-      before: the table before the change; None decodes all.
-      document: the document after it.
-      difference: what led from the one to the other.
+      before: the table before the change; None decodes all pieces.
+      document: the document after the change.
+      difference: the changed pieces.
 
     Raises:
-      ValueError: it can't be read.
+      ValueError: the configuration is invalid.
     """
     if before is None:
         before = routes.RoutingTable(
@@ -160,19 +160,19 @@
 
 
 def _list_entries(names: Iterable[str], section: str) -> list[str]:
-    """Returns the names within a section, of those that belong to it."""
+    """Returns the names of a section's entries, without the section."""
     prefix = section + "/"
     return [n.removeprefix(prefix) for n in names if n.startswith(prefix)]
 
 
 def decode_endpoint(stored: stores.StoredObject) -> listed.ListedEndpoint:
-    """Decodes an entry of the list; its object is named by the endpoint's id.
+    """Decodes an entry of the list; the endpoint's id is its object's name.
 
-    Anyone may have written the entry, so each field is checked: what is wrong
-    in one place is not believed in another.
+    The entry may come from any writer, so every field is validated: an entry
+    with one invalid field is rejected as a whole.
 
     Raises:
-      ValueError: it names no endpoint that could be used.
+      ValueError: the entry is invalid.
     """
     endpoint_id = stored.name.partition("/")[2]
     try:
@@ -188,58 +188,58 @@
         raise ValueError("it has no id")
     state = _read_text(fields, "state")
     if state not in _STATES:
-        raise ValueError(f"its state {state[:_SHOWN_TEXT]!r} is unknown")
-    # Not used, but every entry that an endpoint wrote of itself has it.
-    _read_count(fields, "sequence", _MOST_COUNT)
+        raise ValueError(f"its state {state[:_SHOWN_TEXT_LENGTH]!r} is unknown")
+    # Not used, but every entry that an endpoint wrote itself has this field.
+    _read_count(fields, "sequence", _MAX_COUNT)
     return listed.ListedEndpoint(
         endpoint_id=endpoint_id,
         address=_read_address(fields),
         data_centre=_read_text(fields, "zone"),
         service=_read_text(fields, "service"),
-        slots=max(1, _read_count(fields, "slots", _MOST_SLOTS)),
+        slots=max(1, _read_count(fields, "slots", _MAX_SLOTS)),
         draining=state == _DRAINING,
-        born_ms=_read_count(fields, "born", _MOST_COUNT)
+        born_ms=_read_count(fields, "born", _MAX_COUNT)
         if "born" in fields
         else 0,
     )
 
 
 def _read_text(fields: Mapping[str, Any], name: str) -> str:
-    """Returns a text that is there and not overlong.
+    """Returns a text field, which must not be empty or too long.
 
     Raises:
-      ValueError: it is none.
+      ValueError: the field is invalid.
     """
     value = fields.get(name)
-    if not isinstance(value, str) or not 0 < len(value) <= _LONGEST_TEXT:
+    if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_LENGTH:
         raise ValueError(f"{name} is no name")
     return value
 
 
-def _read_count(fields: Mapping[str, Any], name: str, most: int) -> int:
-    """Returns a whole number from 0 up to a bound.
+def _read_count(fields: Mapping[str, Any], name: str, maximum: int) -> int:
+    """Returns a field with a whole number from 0 to a maximum.
 
     Raises:
-      ValueError: it is none.
+      ValueError: the field is invalid.
     """
     value = fields.get(name)
-    if type(value) is not int or not 0 <= value <= most:
-        raise ValueError(f"{name} is no whole number up to {most}")
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise ValueError(f"{name} is no whole number up to {maximum}")
     return value
 
 
 def _read_address(fields: Mapping[str, Any]) -> str:
-    """Returns an IP number with a port.
+    """Returns an IPv4 address with a port.
 
     Raises:
-      ValueError: it is none.
+      ValueError: the field is invalid.
     """
     address = _read_text(fields, "address")
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not port.isascii() or not port.isdigit() or len(port) > _PORT_DIGITS:
         raise ValueError(f"{address!r} has no port")
-    if not 0 < int(port) <= _MOST_PORT:
+    if not 0 < int(port) <= _MAX_PORT:
         raise ValueError(f"{address!r} has no port")
     return address
 
@@ -251,7 +251,7 @@
         name=str(fields["name"]),
         host=fields["host"].lower(),
         path_prefix=fields["pathPrefix"],
-        # What is not known may not be repeated.
+        # Requests of an unknown kind must not be retried.
         kind=_KINDS.get(
             fields.get("routeKind", ""), routes.RouteKind.NON_IDEMPOTENT
         ),
@@ -306,11 +306,11 @@
 def _decode_keys(
     pieces: Mapping[str, str],
 ) -> dict[str, routes.Workspace] | None:
-    """Returns all keys: one may have gone from one workspace to another."""
+    """Decodes all keys, as a key may have moved between workspaces."""
     if _TENANTS not in pieces:
         return None
     keys = {}
-    # In one order everywhere, should two workspaces claim a key.
+    # Sorted, so that all instances agree if two workspaces have the same key.
     for name in sorted(_list_entries(pieces, _TENANTS)):
         tenant = json.loads(pieces[f"{_TENANTS}/{name}"])
         workspace = routes.Workspace(tenant["name"], tenant.get("priority"))
@@ -320,14 +320,16 @@
 
 
 def _decode_bounds(fields: Mapping[str, Any]) -> routes.CallerBounds:
-    usual = routes.CallerBounds()
+    defaults = routes.CallerBounds()
     header_ms = fields.get("headerTimeoutMs")
     idle_ms = fields.get("idleTimeoutMs")
     return routes.CallerBounds(
-        header_bytes=int(fields.get("maxHeaderBytes") or usual.header_bytes),
-        body_bytes=int(fields.get("maxBodyBytes") or usual.body_bytes),
+        header_bytes=int(fields.get("maxHeaderBytes") or defaults.header_bytes),
+        body_bytes=int(fields.get("maxBodyBytes") or defaults.body_bytes),
         header_timeout_s=header_ms / _MS_PER_S
         if header_ms
-        else usual.header_timeout_s,
-        idle_timeout_s=idle_ms / _MS_PER_S if idle_ms else usual.idle_timeout_s,
+        else defaults.header_timeout_s,
+        idle_timeout_s=idle_ms / _MS_PER_S
+        if idle_ms
+        else defaults.idle_timeout_s,
     )
--- a/rhubarblock/platform/configuration_test.py
+++ b/rhubarblock/platform/configuration_test.py
@@ -84,7 +84,7 @@
     return documents.apply(before, change)
 
 
-def test_route_is_decoded_whole():
+def test_all_fields_of_a_route_are_decoded():
     assert decode(CONFIG).routes.find_named("r-1") == routes.Route(
         name="r-1",
         host="ficu95.example",
@@ -104,7 +104,7 @@
     )
 
 
-def test_kind_that_is_not_known_may_not_be_repeated():
+def test_requests_of_an_unknown_kind_are_not_retried():
     route = decode(CONFIG).routes.find_named("r-2")
     assert not route.repeatable
     assert route.max_attempts == 1
@@ -120,13 +120,13 @@
 
 def test_engine_costs_follow_the_published_formula():
     engine = decode(CONFIG).services["pool"].engine
-    # 45,000 tokens: 176 ms of tokens and 93 ms of pairs.
+    # 45,000 tokens: 176 ms for the tokens and 93 ms for their pairs.
     assert round(engine.predict_prefill(45_000), 3) == 0.269
     assert round(engine.predict_prefill(210_000, 14), 3) == 0.203
     assert round(engine.predict_stride(1, 5_000), 4) == 0.0436
 
 
-def test_keys_belong_to_their_owner():
+def test_keys_map_to_their_workspace():
     assert decode(CONFIG).keys == {
         "k1": routes.Workspace("hule930", 1),
         "k2": routes.Workspace("hule930", 1),
@@ -173,7 +173,7 @@
     )
 
 
-def test_entry_says_when_its_endpoint_started():
+def test_start_time_of_an_entry_is_decoded():
     assert decode_entry({**ENTRY, "born": 1_770_000_000_123}).born_ms == (
         1_770_000_000_123
     )
@@ -214,7 +214,7 @@
         ("born", -1),
     ],
 )
-def test_entry_of_another_writer_names_no_endpoint(name, value):
+def test_entry_with_an_invalid_field_is_an_error(name, value):
     with pytest.raises(ValueError):
         decode_entry({**ENTRY, name: value})
 
@@ -249,7 +249,7 @@
     ),
     anything,
 )
-def test_any_entry_is_decoded_or_refused(changes, whole):
+def test_any_entry_is_decoded_or_rejected(changes, whole):
     for fields in ({**ENTRY, **changes}, whole):
         try:
             entry = decode_entry(fields)
@@ -263,7 +263,7 @@
 
 
 @hypothesis.given(strategies.binary())
-def test_any_bytes_are_decoded_or_refused(value):
+def test_any_bytes_are_decoded_or_rejected(value):
     stored = stores.StoredObject("servers/i-1", AT, value)
     with contextlib.suppress(ValueError):
         configuration.decode_endpoint(stored)
@@ -308,7 +308,7 @@
     return fields
 
 
-def list_places(table):
+def find_routes(table):
     paths = [f"/{name}/x" for name in "abcd"]
     return [table.find_route("h", path) for path in paths]
 
@@ -320,7 +320,7 @@
         max_size=6,
     )
 )
-def test_table_changed_step_by_step_equals_the_one_decoded_whole(history):
+def test_table_changed_step_by_step_equals_one_decoded_at_once(history):
     document, table = documents.EMPTY, None
     for version, parts in enumerate(history, 1):
         fields = make_fields(version, *parts)
@@ -329,7 +329,7 @@
         document = documents.apply(document, change)
         table = configuration.change_table(table, document, change)
         whole = decode(fields)
-        assert list_places(table) == list_places(whole)
+        assert find_routes(table) == find_routes(whole)
         assert table.keys == whole.keys
         assert table.bounds == whole.bounds
         assert table.version == version
@@ -337,7 +337,7 @@
         assert names == sorted(route.name for route in whole.routes)
 
 
-def test_change_decodes_only_what_it_names():
+def test_change_decodes_only_the_changed_pieces():
     document = make_document(json.dumps(CONFIG).encode())
     table = decode(CONFIG)
     routes_ = [CONFIG["routes"][0], {**CONFIG["routes"][1], "timeoutMs": 3000}]
@@ -353,8 +353,8 @@
     assert changed.services["pool"] is table.services["pool"]
 
 
-def test_name_that_stands_twice_is_an_error():
-    twice = {**CONFIG, "routes": [CONFIG["routes"][0]] * 2}
+def test_duplicate_name_is_an_error():
+    duplicated = {**CONFIG, "routes": [CONFIG["routes"][0]] * 2}
     with pytest.raises(ValueError) as caught:
-        configuration.split(json.dumps(twice).encode())
+        configuration.split(json.dumps(duplicated).encode())
     assert str(caught.value) == "two routes have the name 'r-1'"
--- a/rhubarblock/platform/dialect.py
+++ b/rhubarblock/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's spelling, as the relay of exchanges asks for it."""
+"""The platform's implementation of the dialect interface."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 
 class PlatformDialect(dialects.Dialect):
-    """Joins the modules of this folder under the product's interface."""
+    """Implements the dialect with the modules of this package."""
 
     __slots__ = ()
 
@@ -41,9 +41,9 @@
         return headercodec.filter_response_headers(fields, connection)
 
     def address(
-        self, exchange: exchanges.Exchange, order: dialects.SendOptions
+        self, exchange: exchanges.Exchange, options: dialects.SendOptions
     ) -> list[tuple[str, str]]:
-        return headercodec.address(exchange, order)
+        return headercodec.address(exchange, options)
 
     def read_answer(
         self, status: int, fields: Mapping[str, str]
--- a/rhubarblock/platform/headercodec.py
+++ b/rhubarblock/platform/headercodec.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers on the platform's wire."""
+"""Decodes and encodes the header fields of the platform's protocol."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -10,13 +10,13 @@
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.platform import names
 
-# Status with which an endpoint says that a request is meant for another one.
+# Status of the response to a request that is addressed to another endpoint.
 MISDIRECTED = 421
 
 _MS_PER_S = 1000.0
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
-# Fields that concern one connection only.
+# Fields that apply to one connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -32,9 +32,9 @@
         "expect",
     }
 )
-# Statuses with which an endpoint turns a request away.
-_TURNED_AWAY = frozenset({429, 503})
-# An endpoint's own fields that are known.
+# Statuses with which an endpoint rejects a request.
+_REJECTION_STATUSES = frozenset({429, 503})
+# Known fields that an endpoint sets about itself.
 _KNOWN = frozenset(
     name.lower()
     for name in (
@@ -43,11 +43,11 @@
         names.NOT_EXECUTED,
         names.LIMIT,
         names.LEAVING,
-        *names.PASSED_ON,
+        *names.FORWARDED,
     )
 )
-# Fields that this system sets itself, whatever the caller sent.
-_OWN = frozenset(
+# Fields that are never forwarded from a caller; this system sets its own.
+_RESERVED = frozenset(
     name.lower()
     for name in (
         names.REMAINING,
@@ -62,7 +62,7 @@
 
 
 def read_caller(fields: Mapping[str, str]) -> dialects.CallerFields:
-    """Decodes what a caller's head says besides the exchange itself."""
+    """Decodes the header fields of a caller's request."""
     prompt_tokens, answer_tokens = _read_tokens(fields.get(names.TOKEN_COUNT))
     return dialects.CallerFields(
         request_id=fields.get(names.ATTEMPT_ID, ""),
@@ -77,39 +77,39 @@
 def filter_request_headers(
     fields: Iterable[tuple[str, str]], connection: str
 ) -> tuple[exchanges.Header, ...]:
-    """Returns a caller's fields that go to the endpoint unchanged.
+    """Returns a caller's fields that are forwarded to the endpoint.
 
     Args:
-      fields: names and values as they came.
-      connection: value of the field that names further ones that concern one
-        connection only.
+      fields: names and values as received.
+      connection: value of the Connection field, which names further fields
+        that apply to one connection.
     """
-    return _keep(fields, _HOP_BY_HOP | _OWN | _split_names(connection))
+    return _filter(fields, _HOP_BY_HOP | _RESERVED | _split_names(connection))
 
 
 def filter_response_headers(
     fields: Iterable[tuple[str, str]], connection: str
 ) -> tuple[exchanges.Header, ...]:
-    """Returns an endpoint's fields that go to the caller unchanged."""
-    return _keep(fields, _HOP_BY_HOP | _split_names(connection))
+    """Returns an endpoint's fields that are forwarded to the caller."""
+    return _filter(fields, _HOP_BY_HOP | _split_names(connection))
 
 
 def address(
-    exchange: exchanges.Exchange, order: dialects.SendOptions
+    exchange: exchanges.Exchange, options: dialects.SendOptions
 ) -> list[tuple[str, str]]:
-    """Returns the head with which an exchange goes to an endpoint."""
+    """Returns the header fields of an exchange's request to an endpoint."""
     fields = [(header.name, header.value) for header in exchange.headers]
-    remaining_ms = max(1, int(order.remaining_s * _MS_PER_S))
+    remaining_ms = max(1, int(options.remaining_s * _MS_PER_S))
     fields.append((names.REMAINING, str(remaining_ms)))
-    fields.append((names.TARGET, order.endpoint_id))
+    fields.append((names.TARGET, options.endpoint_id))
     if exchange.workspace:
         fields.append((names.TENANT, exchange.workspace))
-    if order.urgency is not None:
-        fields.append((names.URGENCY, str(order.urgency)))
-    if order.last_event >= 0:
-        fields.append((names.LAST_EVENT, str(order.last_event)))
-    if order.helpers:
-        listed = ",".join(_format_helper(helper) for helper in order.helpers)
+    if options.urgency is not None:
+        fields.append((names.URGENCY, str(options.urgency)))
+    if options.last_event >= 0:
+        fields.append((names.LAST_EVENT, str(options.last_event)))
+    if options.helpers:
+        listed = ",".join(_format_helper(helper) for helper in options.helpers)
         fields.append((names.HELPERS, listed))
     return fields
 
@@ -117,7 +117,7 @@
 def read_answer(
     status: int, fields: Mapping[str, str]
 ) -> dialects.AnswerFields:
-    """Decodes what the head of an endpoint's answer says."""
+    """Decodes the header fields of an endpoint's response."""
     return dialects.AnswerFields(
         request_id=fields.get(names.ATTEMPT_ID, ""),
         sealed=names.SEAL in fields,
@@ -131,18 +131,18 @@
 def read_statement(
     status: int, fields: Mapping[str, str]
 ) -> statements.Statement:
-    """Decodes what the head of an answer says of its endpoint.
+    """Decodes what a response states about its endpoint.
 
     Args:
-      status: status of the answer.
-      fields: the fields of the head.
+      status: status of the response.
+      fields: its header fields.
     """
     if status == MISDIRECTED:
-        # It tells of the endpoint that has the address now.
+        # The response is from the endpoint that has the address now.
         return statements.NOTHING
     statement = statements.Statement(
         limit=read_limit(fields),
-        cooldown=_read_rest(status, fields),
+        cooldown=_read_cooldown(status, fields),
         is_leaving="1" in _read_texts(fields, names.LEAVING),
         unknown=tuple(name for name in fields if _is_unknown(name.lower())),
     )
@@ -153,11 +153,11 @@
     return name.startswith(names.ENDPOINT_PREFIXES) and name not in _KNOWN
 
 
-def _read_rest(
+def _read_cooldown(
     status: int, fields: Mapping[str, str]
 ) -> statements.StatedCooldown:
-    """Decodes a rest, the longest one if a head names several."""
-    if status not in _TURNED_AWAY or names.RETRY_AFTER not in fields:
+    """Decodes a cool-down, the longest one if there are several."""
+    if status not in _REJECTION_STATUSES or names.RETRY_AFTER not in fields:
         return statements.NO_COOLDOWN
     texts = _read_texts(fields, names.RETRY_AFTER)
     lengths = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
@@ -169,7 +169,7 @@
 
 
 def _read_texts(fields: Mapping[str, str], name: str) -> list[str]:
-    """Returns the values of a field, which may come more than once."""
+    """Returns the distinct values of a field, which may be repeated."""
     if name not in fields:
         return []
     wanted = name.lower()
@@ -177,11 +177,10 @@
 
 
 def read_limit(fields: Mapping[str, str]) -> ratelimits.StatedLimit:
-    """Decodes the limit that a head names, a plain decimal number.
+    """Decodes the stated rate limit, a plain decimal number.
 
     Args:
-      fields: the fields of the head; one that comes twice is read if both say
-        the same.
+      fields: header fields; a repeated field is valid if its values are equal.
     """
     if names.LIMIT not in fields:
         return ratelimits.NO_STATED_LIMIT
@@ -191,7 +190,7 @@
     return ratelimits.StatedLimit(float(text))
 
 
-def _keep(
+def _filter(
     fields: Iterable[tuple[str, str]], dropped: frozenset[str]
 ) -> tuple[exchanges.Header, ...]:
     return tuple(
--- a/rhubarblock/platform/headercodec_test.py
+++ b/rhubarblock/platform/headercodec_test.py
@@ -30,13 +30,13 @@
     )
 
 
-def test_fields_that_are_missing_or_wrong_have_defaults():
+def test_missing_or_invalid_fields_have_defaults():
     assert headercodec.read_caller(
         CIMultiDict({"X-Rhubarblock-Token-Count": "many"})
     ) == dialects.CallerFields("", "", 0.0, 0, 0, -1)
 
 
-def test_key_and_own_fields_of_a_caller_do_not_reach_the_endpoint():
+def test_key_and_reserved_fields_of_a_caller_are_not_forwarded():
     sent = [
         ("Accept", "x"),
         ("Connection", "close, X-Hop"),
@@ -54,7 +54,7 @@
     )
 
 
-def test_signature_is_passed_back_and_hop_fields_are_not():
+def test_signature_is_forwarded_and_hop_by_hop_fields_are_not():
     sent = [
         ("X-Rhubarblock-Server-Seal", "s"),
         ("Keep-Alive", "timeout=5"),
@@ -66,8 +66,8 @@
     )
 
 
-def test_order_is_spelled_out():
-    order = dialects.SendOptions(
+def test_send_options_are_encoded_as_header_fields():
+    options = dialects.SendOptions(
         "e1",
         0.75,
         urgency=3,
@@ -82,7 +82,7 @@
         headers = (exchanges.Header(fakes.ATTEMPT, "q1"),)
         workspace = "members"
 
-    assert headercodec.address(Named, order) == [
+    assert headercodec.address(Named, options) == [
         ("X-Rhubarblock-Attempt-Id", "q1"),
         ("X-Rhubarblock-Deadline-Remaining", "750"),
         ("X-Rhubarblock-Target-Instance", "e1"),
@@ -93,7 +93,7 @@
     ]
 
 
-def test_only_the_endpoints_word_is_a_refusal():
+def test_only_the_not_executed_field_or_status_421_is_a_refusal():
     def is_refused(status, **fields):
         return headercodec.read_answer(status, CIMultiDict(fields)).refused
 
@@ -119,21 +119,21 @@
     assert headercodec.read_limit(fields).unreadable == (text or "(empty)")
 
 
-def test_limit_that_comes_twice_must_say_the_same():
+def test_repeated_limit_must_have_equal_values():
     same = CIMultiDict([("Server-Limit", "2"), ("server-limit", "2")])
     assert headercodec.read_limit(same).per_s == 2.0
     other = CIMultiDict([("Server-Limit", "2"), ("server-limit", "3")])
     assert headercodec.read_limit(other).unreadable == "2, 3"
 
 
-def test_head_without_the_field_names_no_limit():
+def test_response_without_endpoint_fields_states_nothing():
     answer = headercodec.read_answer(
         200, CIMultiDict({"x-rhubarblock-attempt-id": "q"})
     )
     assert answer.statement is statements.NOTHING
 
 
-def read_rest(status, *texts):
+def read_cooldown(status, *texts):
     fields = CIMultiDict([(names.RETRY_AFTER, t) for t in texts])
     return headercodec.read_statement(status, fields).cooldown
 
@@ -148,36 +148,38 @@
         ("9" * 12, 1e12 - 1),
     ],
 )
-def test_rest_is_read_in_seconds(text, length_s):
-    assert read_rest(503, text) == statements.StatedCooldown(length_s)
+def test_cooldown_is_read_in_seconds(text, length_s):
+    assert read_cooldown(503, text) == statements.StatedCooldown(length_s)
 
 
 @pytest.mark.parametrize(
     "text", ["-1", "soon", "1e3", "nan", "Thu, 03 Dec 2026 10:00:00 GMT", ""]
 )
-def test_rest_that_is_no_number_of_seconds_is_told(text):
-    cooldown = read_rest(503, text)
+def test_cooldown_that_is_no_number_of_seconds_is_unreadable(text):
+    cooldown = read_cooldown(503, text)
     assert cooldown == statements.StatedCooldown(None, text or "(empty)")
 
 
-def test_longest_of_several_rests_is_taken():
-    assert read_rest(503, "2", "3") == statements.StatedCooldown(3.0)
-    assert read_rest(503, "2", "soon") == statements.StatedCooldown(2.0, "soon")
+def test_longest_of_several_cooldowns_counts():
+    assert read_cooldown(503, "2", "3") == statements.StatedCooldown(3.0)
+    assert read_cooldown(503, "2", "soon") == statements.StatedCooldown(
+        2.0, "soon"
+    )
 
 
 @pytest.mark.parametrize(
     "status, is_read",
     [(503, True), (429, True), (200, False), (421, False), (500, False)],
 )
-def test_rest_is_asked_by_turning_a_request_away(status, is_read):
-    assert (read_rest(status, "3").length_s is not None) == is_read
+def test_cooldown_is_read_only_if_the_request_is_rejected(status, is_read):
+    assert (read_cooldown(status, "3").length_s is not None) == is_read
 
 
 @pytest.mark.parametrize(
     "texts, is_leaving",
     [(["1"], True), (["1", "1"], True), ([], False), (["0"], False)],
 )
-def test_leaving_is_read_from_any_answer(texts, is_leaving):
+def test_leaving_is_read_from_responses_of_any_status(texts, is_leaving):
     fields = CIMultiDict([(names.LEAVING, t) for t in texts])
     for status in (200, 500, 503):
         assert (
@@ -186,7 +188,7 @@
     assert headercodec.read_statement(421, fields) is statements.NOTHING
 
 
-def test_fields_about_an_endpoint_that_nothing_reads_are_named():
+def test_unknown_fields_about_an_endpoint_are_listed():
     fields = CIMultiDict(
         {
             names.SEAL: "s",
--- a/rhubarblock/platform/leaseclient.py
+++ b/rhubarblock/platform/leaseclient.py
@@ -1,4 +1,4 @@
-"""Orders about memory to the platform's engines."""
+"""Client for memory leases at the platform's engines."""
 
 from typing import Any
 
@@ -10,15 +10,15 @@
 from rhubarblock.platform import names
 from rhubarblock.store import sendonce
 
-# Seconds for which an order waits for its answer; it is a few milliseconds'
-# work, and what is late may come seconds later.
-ORDER_TIMEOUT_S = 0.4
+# Seconds to wait for an engine's answer. Answers normally take a few
+# milliseconds; one that is late may take seconds.
+CALL_TIMEOUT_S = 0.4
 
 _Answer = dialects.LeaseAnswer
 
 
 class PlatformLeaseClient(dialects.LeaseClient):
-    """Sets memory aside at engines."""
+    """Reserves and releases memory at engines."""
 
     __slots__ = ("_session",)
 
@@ -55,7 +55,7 @@
                 f"http://{endpoint.address}/order",
                 json=body,
                 headers={names.TARGET: endpoint.endpoint_id},
-                timeout=aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
                 middlewares=(sendonce.send_once,),
             ) as response:
                 await response.read()
--- a/rhubarblock/platform/names.py
+++ b/rhubarblock/platform/names.py
@@ -1,52 +1,52 @@
 """Names of the platform's headers, objects and fields."""
 
-# The id of one attempt of a caller, echoed by endpoints.
+# Id of one attempt of a caller, repeated in the endpoint's response.
 ATTEMPT_ID = "X-Rhubarblock-Attempt-Id"
-# Milliseconds that the caller still waits.
+# Time until the caller's deadline, in milliseconds.
 REMAINING = "X-Rhubarblock-Deadline-Remaining"
-# The caller's key; it never reaches an endpoint.
+# The caller's API key, which is never forwarded to an endpoint.
 CREDENTIAL = "X-Rhubarblock-Credential"
-# The name of the key's owner, for the endpoint.
+# Name of the key's owner, sent to the endpoint.
 TENANT = "X-Rhubarblock-Tenant"
-# Tokens of the prompt and most tokens of the answer.
+# Tokens of the prompt and maximum tokens of the answer.
 TOKEN_COUNT = "X-Rhubarblock-Token-Count"
-# Id of the endpoint that a request is meant for.
+# Id of the endpoint that a request is addressed to.
 TARGET = "X-Rhubarblock-Target-Instance"
-# The endpoint's signature under its answer.
+# The endpoint's signature of its response.
 SEAL = "X-Rhubarblock-Server-Seal"
-# An endpoint's word that it did not run the request.
+# States that the endpoint did not run the request.
 NOT_EXECUTED = "X-Rhubarblock-Not-Executed"
-# Rank of a request at an engine, 0 is first.
+# Rank of a request in an engine's queue, 0 is first.
 URGENCY = "X-Rhubarblock-Request-Urgency"
-# Engines that read parts of the prompt, with their memory leases.
+# Engines that prefill parts of the prompt, with their memory leases.
 HELPERS = "X-Rhubarblock-Helpers"
-# Address of the endpoint at fault in a refusal.
+# Address of the endpoint that caused a refusal.
 AT_SERVER = "At-Server"
-# Requests a second that an endpoint in need takes from all instances together.
+# Requests per second that an overloaded endpoint accepts from all instances.
 LIMIT = "Server-Limit"
-# An endpoint's word that it is about to end.
+# States that the endpoint is about to stop.
 LEAVING = "Server-Leaving"
-# Seconds for which an endpoint that turned a request away wants no other.
+# Cool-down of an endpoint that rejected a request, in seconds.
 RETRY_AFTER = "Retry-After"
-# Fields of endpoints' answers that are passed on and decide nothing.
-PASSED_ON = (
+# Endpoint fields that are forwarded to the caller and not interpreted.
+FORWARDED = (
     "X-Rhubarblock-Cold-Remaining",
     "X-Rhubarblock-Instance-Id",
     "X-Rhubarblock-Weight-Versions",
 )
-# What the names of an endpoint's own fields begin with.
+# Prefixes of the fields that an endpoint sets about itself.
 ENDPOINT_PREFIXES = ("x-rhubarblock-", "server-")
-# Number of the last event that the caller of a stream has.
+# Number of the last event that the caller of a stream received.
 LAST_EVENT = "Last-Event-Id"
 
-# The object with the newest configuration, and the kind of endpoints' entries.
+# Object with the current configuration, and prefix of the endpoints' entries.
 CONFIGURATION = "config/main"
 ENDPOINT_KIND = "servers/"
 
-# How often the store has come back from an older copy of itself.
+# Number of times that the store was restored from an older copy.
 STORE_ERA = "Store-Era"
 
-# Variable with the path of the settings file.
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "RHUBARBLOCK_BOOT"
-# Port of the counters, as in deploy/system.toml.
+# Port on which metrics are scraped, as in deploy/system.toml.
 METRICS_PORT = 9464
--- a/rhubarblock/platform/objectstore.py
+++ b/rhubarblock/platform/objectstore.py
@@ -1,7 +1,7 @@
-"""The platform's object API, as the product's store.
+"""Client of the platform's object API.
 
-An object is ``kind/name`` there and here. Its specification holds the value;
-the era of the answer and the revision of its last change are its version.
+An object is named ``kind/name``. Its specification holds the value; its version
+is the era of the response and the revision of the object's last change.
 """
 
 from collections.abc import AsyncIterator
@@ -24,13 +24,13 @@
 _Kind = stores.StoreErrorKind
 
 # Seconds until a call without an answer counts as lost: ten times the slowest
-# answers that a working store was seen to give.
+# answers of a working store.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.5
 _ERA = re.compile(r"[0-9]{1,18}")
-# Longest integer that is decoded, in characters: that of 64 bits.
-_LONGEST_INTEGER = 20
-# Milliseconds for which a watch waits; short, as a connection may go silent.
+# Maximum length of a decoded integer, in characters: that of 64 bits.
+_MAX_INTEGER_LENGTH = 20
+# Milliseconds of a watch's long poll; short, as a connection may go silent.
 WATCH_WAIT_MS = 4_000
 
 _STATUS_KINDS = {
@@ -60,8 +60,8 @@
         Args:
           session: HTTP session to use.
           address: ``host:port`` of the API.
-          count_call: counts every call by a name, as each one is charged.
-          eras: hears the era of every answer.
+          count_call: counts each call by name, as calls are charged.
+          eras: validates the era of every response.
         """
         self._eras = eras
         self._session = session
@@ -118,7 +118,7 @@
         await self._call("DELETE", name, query)
 
     def _check_era(self, expected: positions.Position) -> None:
-        """Refuses a condition of an ended era, which another state may meet.
+        """Rejects a version of an ended era, as another state may now have it.
 
         Raises:
           store.StoreError: CONFLICT.
@@ -141,7 +141,7 @@
                 "GET", kind, query, CALL_TIMEOUT_S + WATCH_WAIT_MS / 1e3
             )
             if page.era != after.era:
-                # Changes since the copy may be missing without an error.
+                # The watch may silently lack changes made since the copy.
                 raise stores.StoreError(
                     _Kind.CONFLICT, "the era changed under a watch"
                 )
@@ -158,10 +158,10 @@
         timeout_s: float = CALL_TIMEOUT_S,
         body: Mapping[str, Any] | None = None,
     ) -> "_Answer":
-        """Makes one call and returns its answer.
+        """Makes one call and returns its response.
 
         Raises:
-          store.StoreError: it did not succeed.
+          store.StoreError: the call did not succeed.
         """
         unknown = _Kind.UNAVAILABLE if method == "GET" else _Kind.UNSURE
         self._count_call(_name_call(method, path, query or {}))
@@ -194,10 +194,10 @@
             raise stores.StoreError(unknown, str(error)) from error
 
     def _take_era(self, response: aiohttp.ClientResponse) -> int:
-        """Returns the era of an answer; refusals may name none.
+        """Returns the era of a response; an error response may name none.
 
         Raises:
-          store.StoreError: nothing that it says may be taken in.
+          store.StoreError: the content of the response must not be used.
         """
         text = response.headers.get(names.STORE_ERA, "").strip()
         era = int(text) if _ERA.fullmatch(text) else None
@@ -208,19 +208,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Answer:
-    """The decoded body of an answer and the era that it belongs to."""
+    """The decoded body of a response and the era that it belongs to."""
 
     fields: Any
     era: int
 
     @property
     def position(self) -> positions.Position:
-        """Where the store stood; only lists and watches tell it."""
+        """Position of the store, which only lists and watches contain."""
         return positions.Position(self.era, int(self.fields["storeRevision"]))
 
 
 def _name_call(method: str, path: str, query: Mapping[str, str]) -> str:
-    """Returns the counter of a call: what it does, and to which kind."""
+    """Returns the name of a call's counter, from its operation and kind."""
     kind, _, name = path.partition("/")
     if method != "GET":
         return f"store.write.{kind}"
@@ -230,13 +230,13 @@
 
 
 def _load(content: bytes) -> Any:
-    """Decodes a body; what one object holds must not spoil the others.
+    """Decodes a body; an invalid object must not make the others unreadable.
 
-    Anyone may have written into an object, so texts that are no UTF-8 and
-    numbers of any length are taken in here; who uses them checks them.
+    Objects may come from any writer, so invalid UTF-8 and numbers of any length
+    are accepted here; the code that uses a value validates it.
 
     Raises:
-      ValueError: it can't be read as a whole.
+      ValueError: the body as a whole is invalid.
     """
     text = content.decode("utf-8", "replace")
     try:
@@ -246,8 +246,8 @@
 
 
 def _read_integer(digits: str) -> int | float:
-    """Returns a number; one that no field holds becomes infinite."""
-    if len(digits) > _LONGEST_INTEGER:
+    """Returns an integer, or infinity if it is too long for any field."""
+    if len(digits) > _MAX_INTEGER_LENGTH:
         return math.inf
     return int(digits)
 
--- a/rhubarblock/platform/objectstore_test.py
+++ b/rhubarblock/platform/objectstore_test.py
@@ -1,4 +1,4 @@
-"""The client of the object API against a small stand-in of it."""
+"""Tests the client of the object API against a small server."""
 
 import asyncio
 import contextlib
@@ -31,9 +31,10 @@
 
 @contextlib.asynccontextmanager
 async def open_store(answer, count_call=lambda name: None, eras=None):
-    """Opens a client of a store.
+    """Opens a client of a server.
 
-    ``answer`` gives status and body of a call, and its headers if it has any.
+    ``answer`` returns the status and body of a call and, if any, its headers;
+    None aborts the connection.
     """
     calls = []
 
@@ -86,7 +87,7 @@
     assert calls == [("GET", "/objects/config/main", "")]
 
 
-def test_listing_goes_on_after_the_last_name_of_a_page():
+def test_listing_continues_after_the_last_name_of_a_page():
     def answer(number, *call):
         name = "a" if number == 1 else "b"
         page = {
@@ -102,7 +103,7 @@
     assert calls[1][1] == "/objects/servers?after=a"
 
 
-def test_watch_goes_on_from_the_stores_revision():
+def test_watch_continues_from_the_stores_revision():
     def answer(number, *call):
         events = [
             {"removed": False, "object": make_item("a", 11, {"x": 1})},
@@ -162,14 +163,14 @@
         (503, _Kind.UNAVAILABLE),
     ],
 )
-def test_refusals_have_a_kind(status, kind):
+def test_error_statuses_map_to_kinds(status, kind):
     found, _ = run(
         lambda *call: (status, {}), lambda store: store.read("config/main")
     )
     assert found is kind
 
 
-def test_write_without_an_answer_is_unsure_and_made_once():
+def test_write_without_an_answer_is_unsure_and_sent_once():
     found, calls = run(
         lambda *call: None,
         lambda store: store.write("instances/i1", b"{}", at(4)),
@@ -178,7 +179,7 @@
     assert len(calls) == 1
 
 
-def test_read_without_an_answer_is_made_once():
+def test_read_without_an_answer_is_sent_once():
     found, calls = run(
         lambda *call: None, lambda store: store.read("config/main")
     )
@@ -186,7 +187,7 @@
     assert len(calls) == 1
 
 
-def test_each_call_is_counted_by_what_it_does_and_how_it_fails():
+def test_calls_are_counted_by_operation_and_by_error():
     counted = []
 
     def answer(number, method, path, body):
@@ -223,7 +224,7 @@
 
 
 def run_eras(answers, step):
-    """Gives an answer for each call; returns what came, calls and the era."""
+    """Serves the answers in turn; returns the result, calls and the era."""
     eras = era_lib.EraTracker(metric_store.Metrics())
 
     async def main():
@@ -246,14 +247,14 @@
     assert (found.version, era) == (at(7, 4), 4)
 
 
-def test_refusal_tells_the_era_too():
+def test_era_is_read_from_an_error_response():
     found, _, era = run_eras(
         [in_era(4, {}, 503)], lambda store: store.read("config/main")
     )
     assert (found, era) == (_Kind.UNAVAILABLE, 4)
 
 
-def test_listing_of_two_eras_is_none():
+def test_listing_across_two_eras_is_a_conflict():
     page = {"items": [make_item("a", 1, {})], "storeRevision": 9}
     found, _, era = run_eras(
         [in_era(4, page | {"hasMore": True}), in_era(5, page)],
@@ -263,8 +264,8 @@
 
 
 @pytest.mark.parametrize("revision", [7, 12])
-def test_watch_ends_where_the_era_changed(revision):
-    """The revision may have passed the last one that was seen by then."""
+def test_watch_ends_when_the_era_changes(revision):
+    """The new era's revision may be above the last one that was seen."""
 
     async def step(store):
         async for _ in store.watch("servers/", at(10, 4)):
@@ -291,7 +292,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "five", "-1", "9" * 30])
-def test_answer_without_an_era_is_none_once_one_is_known(text):
+def test_answer_without_an_era_is_rejected_once_an_era_is_known(text):
     async def step(store):
         await store.read("config/main")
         return await store.read("config/main")
@@ -301,8 +302,8 @@
     assert (found, era) == (_Kind.UNAVAILABLE, 5)
 
 
-def test_condition_of_an_ended_era_is_not_sent():
-    """Another write may have got the expected revision since."""
+def test_expected_version_of_an_ended_era_is_not_sent():
+    """Another write may have got the same revision in the new era."""
 
     async def step(store):
         first = await store.read("instances/i1")
--- a/rhubarblock/platform/settings.py
+++ b/rhubarblock/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded whole with all errors at once."""
+"""Decodes the platform's settings file and reports all errors at once."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -32,10 +32,10 @@
     """Reads the settings file.
 
     Args:
-      path: TOML file; fields that are not known are passed over.
+      path: TOML file; unknown fields are ignored.
 
     Returns:
-      The settings, or every error found.
+      The settings, or all errors.
     """
     try:
         fields = tomllib.loads(path.read_text())
@@ -47,21 +47,21 @@
 
 
 def decode_settings(fields: Mapping[str, Any]) -> Loaded:
-    """Checks the fields of a settings file."""
+    """Validates and decodes the fields of a settings file."""
     reader = _Reader(fields)
     peers = reader.read("ip", _read_text)
     ports = reader.read("internalPortRange", _read_ports)
     settings = settings_lib.ExchangeSettings(
         instance_id=reader.read("nodeName", _read_text) or "",
         data_centre=reader.read("zone", _read_text) or "",
-        callers=reader.read("listen.front", _read_address) or _NOWHERE,
-        readiness=reader.read("listen.readyAddr", _read_address) or _NOWHERE,
+        callers=reader.read("listen.front", _read_address) or _NO_ADDRESS,
+        readiness=reader.read("listen.readyAddr", _read_address) or _NO_ADDRESS,
         peers=settings_lib.SocketAddress(peers or "", ports or 0),
         metrics=settings_lib.SocketAddress(peers or "", names.METRICS_PORT),
         store=reader.read("platformSettings.address", _read_address)
-        or _NOWHERE,
+        or _NO_ADDRESS,
         bounds=_read_bounds(reader),
-        is_first_start=reader.read_given("bootstrap", _read_flag) or False,
+        is_first_start=reader.read_optional("bootstrap", _read_flag) or False,
         capacity=_read_capacity(reader),
     )
     if reader.errors:
@@ -70,7 +70,7 @@
 
 
 class _Reader:
-    """Reads fields and keeps what is wrong with them."""
+    """Reads fields and collects their errors."""
 
     __slots__ = ("_fields", "errors")
 
@@ -79,14 +79,14 @@
         self.errors: list[settings_lib.SettingError] = []
 
     def read(self, name: str, convert: Callable[[Any], T]) -> T | None:
-        """Returns a field by its dotted name, or None after an error."""
+        """Returns a required field by its dotted name, or None on error."""
         if self._find(name) is None:
             self.errors.append(settings_lib.SettingError(name, "is missing"))
             return None
-        return self.read_given(name, convert)
+        return self.read_optional(name, convert)
 
-    def read_given(self, name: str, convert: Callable[[Any], T]) -> T | None:
-        """Returns a field that may be missing, or None."""
+    def read_optional(self, name: str, convert: Callable[[Any], T]) -> T | None:
+        """Returns a field by its dotted name, or None if missing or invalid."""
         value = self._find(name)
         if value is None:
             return None
@@ -104,12 +104,12 @@
         return value
 
 
-_NOWHERE = settings_lib.SocketAddress("", 0)
+_NO_ADDRESS = settings_lib.SocketAddress("", 0)
 
 
 def _read_capacity(reader: _Reader) -> capacities.Capacity:
     def read(name: str) -> float:
-        return reader.read_given(f"limits.{name}", _read_positive) or 0.0
+        return reader.read_optional(f"limits.{name}", _read_positive) or 0.0
 
     return capacities.Capacity(
         link_mbps=read("linkMbps"), cores=read("cpuShare") * read("cores")
@@ -117,22 +117,22 @@
 
 
 def _read_bounds(reader: _Reader) -> settings_lib.ExchangeBounds:
-    usual = settings_lib.ExchangeBounds()
+    defaults = settings_lib.ExchangeBounds()
 
     def read(name: str, unit: float, default: float) -> float:
-        value = reader.read_given(f"bounds.{name}", _read_positive)
+        value = reader.read_optional(f"bounds.{name}", _read_positive)
         return default if value is None else value / unit
 
     return settings_lib.ExchangeBounds(
-        grace_s=read("graceS", 1.0, usual.grace_s),
-        drain_s=read("drainMs", _MS_PER_S, usual.drain_s),
-        apply_s=read("configApplyMs", _MS_PER_S, usual.apply_s),
-        revoke_s=read("revokeMs", _MS_PER_S, usual.revoke_s),
-        retry_ratio=read("retryBudgetRatio", 1.0, usual.retry_ratio),
-        retry_slack=int(read("retryBudgetSlack", 1.0, usual.retry_slack)),
-        retry_window_s=read("budgetWindowS", 1.0, usual.retry_window_s),
-        lease_max_s=read("maxHoldMs", _MS_PER_S, usual.lease_max_s),
-        lease_free_s=read("freeMs", _MS_PER_S, usual.lease_free_s),
+        grace_s=read("graceS", 1.0, defaults.grace_s),
+        drain_s=read("drainMs", _MS_PER_S, defaults.drain_s),
+        apply_s=read("configApplyMs", _MS_PER_S, defaults.apply_s),
+        revoke_s=read("revokeMs", _MS_PER_S, defaults.revoke_s),
+        retry_ratio=read("retryBudgetRatio", 1.0, defaults.retry_ratio),
+        retry_slack=int(read("retryBudgetSlack", 1.0, defaults.retry_slack)),
+        retry_window_s=read("budgetWindowS", 1.0, defaults.retry_window_s),
+        lease_max_s=read("maxHoldMs", _MS_PER_S, defaults.lease_max_s),
+        lease_free_s=read("freeMs", _MS_PER_S, defaults.lease_free_s),
     )
 
 
--- a/rhubarblock/platform/settings_test.py
+++ b/rhubarblock/platform/settings_test.py
@@ -43,7 +43,7 @@
     assert loaded.bounds.lease_max_s == 20.0
 
 
-def test_all_errors_come_at_once(tmp_path):
+def test_all_errors_are_reported_at_once(tmp_path):
     text = (
         TEXT.replace("graceS = 8", "graceS = 0")
         .replace('zone = "osu-hall"', "zone = 4")
@@ -63,7 +63,7 @@
     ]
 
 
-def test_bounds_that_a_deployment_does_not_promise_have_defaults(tmp_path):
+def test_missing_bounds_have_defaults(tmp_path):
     text = TEXT.replace("revokeMs = 5000\n", "").replace("maxHoldMs", "other")
     bounds = load(tmp_path, text).unwrap().bounds
     assert bounds.revoke_s == 5.0
