--- a/rhubarblock/store/__init__.py
+++ b/rhubarblock/store/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform's object API."""
+"""Interface and clients of the platform's object API."""
--- a/rhubarblock/store/confirmedwrite.py
+++ b/rhubarblock/store/confirmedwrite.py
@@ -1,8 +1,9 @@
-"""Writes whose answer was lost: found out by reading back.
+"""Conditional writes whose outcome is confirmed by reading back.
 
-An unsure write may have taken effect, may never do so, or may still be on its
-way. Reading back settles the first. Writing again with the same expected
-version is safe in the other two: the platform lets only one of them through.
+A write without an answer may have taken effect, may never do so, or may still
+be in flight. Reading back detects the first case. In the other two it is safe
+to write again with the same expected version: the platform accepts only one of
+the writes.
 """
 
 import asyncio
@@ -17,8 +18,8 @@
 
 _Kind = stores.StoreErrorKind
 
-# Kinds after which the same write can be tried again at once.
-_PASSING = {_Kind.UNAVAILABLE, _Kind.RATE_LIMITED}
+# Errors after which a write had no effect and can be retried.
+_TRANSIENT = {_Kind.UNAVAILABLE, _Kind.RATE_LIMITED}
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -30,8 +31,8 @@
       value: new content.
       expected_version: version to replace; NOWHERE means that it must not
         exist.
-      owns: says of a content whether this write made it, as a rule by a writer
-        id that is unique to the write.
+      owns: returns whether a content was written by this write, usually by a
+        writer id that is unique to the write.
     """
 
     name: str
@@ -41,7 +42,7 @@
 
 
 class ConfirmingWriter:
-    """Carries writes through to an outcome that is known."""
+    """Retries writes until their outcome is known."""
 
     __slots__ = ("_rng", "_settings", "_store", "_timers")
 
@@ -57,8 +58,8 @@
         Args:
           store: object API.
           timers: clock and sleeps.
-          rng: spreads the waits.
-          settings: waits between tries, or None for the defaults.
+          rng: source of the jitter.
+          settings: backoff between tries, or None for the defaults.
         """
         self._store = store
         self._timers = timers
@@ -68,20 +69,20 @@
     async def write(
         self, pending: PendingWrite, deadline_s: float
     ) -> stores.StoredObject:
-        """Writes, reads back where unsure, and tries again until a deadline.
+        """Writes, reads back if unsure, and retries until a deadline.
 
         Args:
           pending: what to write.
-          deadline_s: latest end, in seconds of the monotonic clock.
+          deadline_s: deadline, in seconds of the monotonic clock.
 
         Returns:
           The object as written, or as read back.
 
         Raises:
-          store.StoreError: CONFLICT when the write certainly had no effect;
-            UNSURE when that stays unknown at the deadline, or when another
-            write followed that does not show whether this one came before it;
-            UNAVAILABLE when the platform refused every try.
+          store.StoreError: CONFLICT if the write certainly had no effect;
+            UNSURE if the outcome is still unknown at the deadline, or if a
+            later write hides whether this one took effect; UNAVAILABLE if the
+            platform rejected every try.
         """
         backoff = backoffs.Backoff(self._rng, self._settings)
         unsure = False
@@ -94,7 +95,7 @@
                     raise
                 if kind is _Kind.UNSURE:
                     unsure = True
-                elif kind is not _Kind.CONFLICT and kind not in _PASSING:
+                elif kind is not _Kind.CONFLICT and kind not in _TRANSIENT:
                     raise
             if unsure:
                 found = await self._read_back(pending, deadline_s)
@@ -135,8 +136,8 @@
             raise stores.StoreError(
                 _Kind.UNSURE, f"{pending.name} was written by another"
             )
-        # The object is as it was before the write, or the platform serves an
-        # older state; either way the next try decides.
+        # The object has not changed, or the platform serves an older state;
+        # either way the next try decides.
         return None
 
     async def _wait(
--- a/rhubarblock/store/confirmedwrite_test.py
+++ b/rhubarblock/store/confirmedwrite_test.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedStore(stores.ObjectStore):
-    """One object, and a fault for each write that comes."""
+    """A store of one object with a scripted fault for each write."""
 
     def __init__(self, *faults: str):
         self.stored: stores.StoredObject | None = None
@@ -98,24 +98,24 @@
         (["unavailable", "unavailable"], 3),
     ],
 )
-def test_write_is_carried_through_once(faults, writes) -> None:
+def test_write_takes_effect_exactly_once(faults, writes) -> None:
     store = ScriptedStore(*faults)
     assert run_write(store) == stores.StoredObject("a/1", FIRST, b"mine")
     assert store.writes == writes
 
 
-def test_conflict_at_the_first_try_is_certain() -> None:
+def test_conflict_at_the_first_try_is_raised() -> None:
     store = ScriptedStore()
     store.put(b"other")
     assert run_write(store) is _Kind.CONFLICT
 
 
-def test_conflict_after_a_lost_answer_is_not_certain() -> None:
+def test_conflict_after_a_lost_answer_is_unsure() -> None:
     store = ScriptedStore("lost after, then another writes")
     assert run_write(store) is _Kind.UNSURE
 
 
-def test_effect_that_an_old_read_did_not_show_is_found() -> None:
+def test_effect_that_a_stale_read_did_not_show_is_found() -> None:
     class StaleStore(ScriptedStore):
         reads = 0
 
@@ -129,24 +129,24 @@
     assert run_write(store) == stores.StoredObject("a/1", FIRST, b"mine")
 
 
-def test_deadline() -> None:
+def test_error_at_the_deadline_tells_whether_the_outcome_is_known() -> None:
     assert run_write(ScriptedStore(*["unavailable"] * 99)) is _Kind.UNAVAILABLE
     assert run_write(ScriptedStore(*["lost before"] * 99)) is _Kind.UNSURE
     assert run_write(ScriptedStore("hangs")) is _Kind.UNSURE
 
 
-def test_error_that_does_not_pass_is_raised_at_once() -> None:
+def test_permanent_error_is_raised_at_once() -> None:
     store = ScriptedStore("too_large")
     assert run_write(store) is _Kind.TOO_LARGE
     assert store.writes == 1
 
 
-def test_waits_double_and_are_spread() -> None:
+def test_delays_double_and_have_jitter() -> None:
     settings = backoffs.BackoffSettings(first_s=1.0, max_s=3.0)
     backoff = backoffs.Backoff(random.Random(1), settings)
     delays = [backoff.take_delay() for _ in range(4)]
-    longest = [1.0, 2.0, 3.0, 3.0]
-    for delay, most in zip(delays, longest, strict=True):
-        assert most / 2 <= delay <= most
+    maxima = [1.0, 2.0, 3.0, 3.0]
+    for delay, maximum in zip(delays, maxima, strict=True):
+        assert maximum / 2 <= delay <= maximum
     backoff.reset()
     assert backoff.take_delay() <= 1.0
--- a/rhubarblock/store/era.py
+++ b/rhubarblock/store/era.py
@@ -1,9 +1,9 @@
-"""The eras of a store that may come back from an older copy of itself.
+"""Tracks the era of a store that may be restored from an older copy.
 
-One instance of ``EraTracker`` hears the era of every answer that tells of the
-store, be it the store's own or a peer's. Nothing that an answer of an ended era
-says is taken in, and parts that rely on what the store acknowledged hear of a
-new era before anything of it is.
+One ``EraTracker`` validates the era of every response with state of the store,
+whether the store or a peer sent it. The content of a response from an ended era
+is discarded. Modules that depend on writes that the store acknowledged are
+notified of a new era before any content of that era is used.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class EraTracker(stores.Eras):
-    """Knows the present era as far as any answer told of it."""
+    """Tracks the latest era that any response named."""
 
     __slots__ = ("_era", "_first", "_listeners", "_metrics")
 
@@ -26,7 +26,7 @@
         """Starts without an era.
 
         Args:
-          metrics: counts eras and answers that are dropped.
+          metrics: counts changes of the era and discarded responses.
         """
         self._metrics = metrics
         self._era = 0
@@ -39,11 +39,11 @@
 
     @property
     def has_changed(self) -> bool:
-        """Whether the store came back older since this instance started."""
+        """Whether the store was restored since this instance started."""
         return self._era > self._first
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Calls a listener at each later change of the era."""
+        """Calls a listener on each later change of the era."""
         self._listeners.append(listener)
 
     def take(self, era: int | None) -> int:
@@ -64,10 +64,10 @@
                 _Kind.OUTDATED, f"era {era} ended, {self._era} is current"
             )
         if era > self._era:
-            self._begin(era)
+            self._start_era(era)
         return era
 
-    def _begin(self, era: int) -> None:
+    def _start_era(self, era: int) -> None:
         before, self._era = self._era, era
         if not before:
             self._first = era
--- a/rhubarblock/store/era_test.py
+++ b/rhubarblock/store/era_test.py
@@ -8,50 +8,50 @@
 
 
 def make():
-    watch = eras.EraTracker(metric_store.Metrics())
-    heard = []
-    watch.listen(lambda: heard.append(watch.current))
-    return watch, heard
+    tracker = eras.EraTracker(metric_store.Metrics())
+    notified = []
+    tracker.listen(lambda: notified.append(tracker.current))
+    return tracker, notified
 
 
-def fail(watch, era):
+def fail(tracker, era):
     with pytest.raises(stores.StoreError) as caught:
-        watch.take(era)
+        tracker.take(era)
     return caught.value.kind
 
 
 def test_first_era_is_no_change():
-    watch, heard = make()
-    assert watch.take(None) == 0
-    assert (watch.take(4), watch.take(4), heard) == (4, 4, [])
-    assert not watch.has_changed
+    tracker, notified = make()
+    assert tracker.take(None) == 0
+    assert (tracker.take(4), tracker.take(4), notified) == (4, 4, [])
+    assert not tracker.has_changed
 
 
 @pytest.mark.parametrize("era", [5, 9])
-def test_later_era_is_heard_once(era):
-    watch, heard = make()
-    watch.take(4)
-    assert (watch.take(era), watch.take(era)) == (era, era)
-    assert heard == [era]
-    assert watch.has_changed
+def test_listeners_are_notified_of_a_later_era_once(era):
+    tracker, notified = make()
+    tracker.take(4)
+    assert (tracker.take(era), tracker.take(era)) == (era, era)
+    assert notified == [era]
+    assert tracker.has_changed
 
 
-def test_two_eras_after_each_other_are_both_heard():
-    watch, heard = make()
+def test_listeners_are_notified_of_each_new_era():
+    tracker, notified = make()
     for era in (4, 5, 6):
-        watch.take(era)
-    assert heard == [5, 6]
+        tracker.take(era)
+    assert notified == [5, 6]
 
 
 def test_answer_of_an_ended_era_is_dropped():
-    watch, heard = make()
-    watch.take(4)
-    watch.take(5)
-    assert fail(watch, 4) is _Kind.OUTDATED
-    assert (watch.current, heard) == (5, [5])
+    tracker, notified = make()
+    tracker.take(4)
+    tracker.take(5)
+    assert fail(tracker, 4) is _Kind.OUTDATED
+    assert (tracker.current, notified) == (5, [5])
 
 
-def test_answer_without_an_era_says_nothing_once_one_is_known():
-    watch, _ = make()
-    watch.take(4)
-    assert fail(watch, None) is _Kind.UNAVAILABLE
+def test_answer_without_an_era_is_rejected_once_an_era_is_known():
+    tracker, _ = make()
+    tracker.take(4)
+    assert fail(tracker, None) is _Kind.UNAVAILABLE
--- a/rhubarblock/store/httpstore.py
+++ b/rhubarblock/store/httpstore.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP."""
+"""HTTP client of the object API."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Iterator
@@ -49,7 +49,7 @@
 
     async def read(self, name: str) -> stores.StoredObject:
         with _read_errors():
-            async with self._request("GET", self._locate(name)) as response:
+            async with self._request("GET", self._format_url(name)) as response:
                 _check_status(response)
                 value = await response.read()
                 return stores.StoredObject(name, _get_version(response), value)
@@ -72,9 +72,9 @@
         with _write_errors():
             async with self._request(
                 "PUT",
-                self._locate(name),
+                self._format_url(name),
                 data=value,
-                headers=self._expect(expected_version),
+                headers=self._make_conditional_headers(expected_version),
             ) as response:
                 _check_status(response)
                 await response.read()
@@ -86,8 +86,8 @@
         with _write_errors():
             async with self._request(
                 "DELETE",
-                self._locate(name),
-                headers=self._expect(expected_version),
+                self._format_url(name),
+                headers=self._make_conditional_headers(expected_version),
             ) as response:
                 _check_status(response)
                 await response.read()
@@ -110,11 +110,13 @@
                 async for line in _read_lines(response):
                     yield storewire.decode_event(line)
 
-    def _locate(self, name: str) -> str:
+    def _format_url(self, name: str) -> str:
         quoted = urllib.parse.quote(name, safe="/")
         return f"{self._base_url}{storewire.OBJECTS_PATH}/{quoted}"
 
-    def _expect(self, version: positions.Position) -> dict[str, str]:
+    def _make_conditional_headers(
+        self, version: positions.Position
+    ) -> dict[str, str]:
         return {**self._headers, storewire.EXPECTED_HEADER: _encode(version)}
 
     def _request(
@@ -141,10 +143,10 @@
 
 async def _read_lines(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
     # The library's readline has a limit below the size of an event.
-    rest = b""
+    partial = b""
     async for data in response.content.iter_any():
-        lines = (rest + data).split(b"\n")
-        rest = lines.pop()
+        lines = (partial + data).split(b"\n")
+        partial = lines.pop()
         for line in lines:
             yield line
 
@@ -181,7 +183,7 @@
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        # There was no connection, so the platform saw nothing of the call.
+        # There was no connection, so the platform did not receive the call.
         raise stores.StoreError(_Kind.UNAVAILABLE, str(error)) from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         raise stores.StoreError(_Kind.UNSURE, str(error)) from error
--- a/rhubarblock/store/instances.py
+++ b/rhubarblock/store/instances.py
@@ -1,9 +1,9 @@
-"""The platform's lagging list of live and leaving instances.
+"""The platform's eventually consistent list of instances.
 
 An entry of the list is an object ``instances/<id>`` of the object API; the
-platform shows a change of it only some seconds later. What is read here is
-therefore a hint: an instance may be gone already, or leaving, or not listed
-yet.
+platform shows a change of it only some seconds later. The list is therefore a
+hint: a listed instance may already be gone or leaving, and a running one may
+not be listed yet.
 """
 
 import abc
@@ -33,16 +33,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ListedInstance:
-    """One line of the list.
+    """One entry of the list.
 
     Attributes:
       instance_id: unique name.
-      address: ``host:port`` with an IP number.
+      address: ``host:port`` with an IP address.
       data_centre: data centre in which it runs.
       service: service of the catalogue; empty for an entry instance.
       kind: what runs there.
-      leaving: whether it is about to stop and wants no new work.
-      capacity: what its machine can carry.
+      leaving: whether it is about to stop and accepts no new requests.
+      capacity: capacity of its machine.
     """
 
     instance_id: str
@@ -55,11 +55,11 @@
 
 
 class InstanceSource(abc.ABC):
-    """Where the list is read from."""
+    """Source of the list."""
 
     @abc.abstractmethod
     async def fetch_instances(self) -> list[ListedInstance]:
-        """Returns the list by instance id.
+        """Returns the list, sorted by instance id.
 
         Raises:
           store.StoreError: the platform did not answer.
@@ -72,14 +72,14 @@
 
 
 def encode_instance(instance: ListedInstance) -> bytes:
-    """Returns an entry as the content of its object."""
+    """Encodes an entry as the content of its object."""
     fields = dataclasses.asdict(instance)
     fields["kind"] = instance.kind.value
     return json.dumps(fields, sort_keys=True).encode()
 
 
 def decode_instance(value: bytes) -> ListedInstance:
-    """Reads what ``encode_instance`` made."""
+    """Decodes the result of ``encode_instance``."""
     fields = json.loads(value)
     return ListedInstance(
         instance_id=fields["instance_id"],
@@ -93,7 +93,7 @@
 
 
 def _decode_capacity(fields: Mapping[str, Any]) -> capacities.Capacity:
-    """Reads what is known; an instance of an earlier release tells nothing."""
+    """Decodes a capacity; earlier releases write none or only a part."""
     return capacities.Capacity(
         link_mbps=float(fields.get("link_mbps", 0.0)),
         cores=float(fields.get("cores", 0.0)),
@@ -101,7 +101,7 @@
 
 
 class HttpInstanceSource(InstanceSource):
-    """Reads the list over HTTP."""
+    """Fetches the list over HTTP."""
 
     __slots__ = ("_headers", "_session", "_url")
 
--- a/rhubarblock/store/instances_test.py
+++ b/rhubarblock/store/instances_test.py
@@ -1,11 +1,11 @@
-"""Lines of the list of instances."""
+"""Tests the encoding of the entries of the instance list."""
 
 import json
 
 from rhubarblock.core import capacity as capacities
 from rhubarblock.store import instances
 
-LINE = instances.ListedInstance(
+INSTANCE = instances.ListedInstance(
     "i1",
     "10.0.0.1:7",
     "osu",
@@ -15,12 +15,15 @@
 )
 
 
-def test_line_is_read_as_it_was_written():
-    assert instances.decode_instance(instances.encode_instance(LINE)) == LINE
+def test_encoded_entry_is_decoded_unchanged():
+    assert (
+        instances.decode_instance(instances.encode_instance(INSTANCE))
+        == INSTANCE
+    )
 
 
-def test_line_of_another_release_is_read():
-    fields = json.loads(instances.encode_instance(LINE))
+def test_entries_of_other_releases_are_decoded():
+    fields = json.loads(instances.encode_instance(INSTANCE))
     earlier = {k: v for k, v in fields.items() if k != "capacity"}
     read = instances.decode_instance(json.dumps(earlier).encode())
     assert read.capacity == capacities.UNKNOWN
--- a/rhubarblock/store/sendonce.py
+++ b/rhubarblock/store/sendonce.py
@@ -1,7 +1,7 @@
-"""Stops the HTTP client library from sending a call twice by itself.
+"""Keeps the HTTP client library from sending a request twice by itself.
 
-aiohttp sends GET, PUT and DELETE a second time when the connection breaks
-before an answer. A conditional write would then see its own effect as a
+aiohttp sends GET, PUT and DELETE requests again when the connection breaks
+before the response. A conditional write would then see its own effect as a
 conflict, and a call that is not idempotent would run twice.
 """
 
@@ -9,13 +9,13 @@
 
 
 class ConnectionCutError(aiohttp.ClientError):
-    """The connection broke after the call was begun; it may have run."""
+    """The connection broke during a call, which may have run."""
 
 
 async def send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Client middleware that lets one call go out at most once."""
+    """Client middleware that sends a request at most once."""
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
--- a/rhubarblock/store/store.py
+++ b/rhubarblock/store/store.py
@@ -12,27 +12,27 @@
 
 from rhubarblock.core import position as positions
 
-# The platform refuses values above this size, in bytes.
+# Maximum size of a value in bytes; the platform rejects larger ones.
 VALUE_LIMIT = 1_000_000
 
 
 class StoreErrorKind(enum.Enum):
-    """Why a call to the object API did not succeed."""
+    """Why a call to the object API failed."""
 
-    CONFLICT = "conflict"  # The expected version is not the present one.
+    CONFLICT = "conflict"  # The expected version is not the current one.
     NOT_FOUND = "not_found"
-    UNAVAILABLE = "unavailable"  # Refused before it took effect.
+    UNAVAILABLE = "unavailable"  # Rejected before it took effect.
     UNSURE = "unsure"  # No answer: a write may or may not have taken effect.
     RATE_LIMITED = "rate_limited"
-    OUTDATED = "outdated"  # The answer tells of an era that has ended.
+    OUTDATED = "outdated"  # The response is from an era that has ended.
     TOO_LARGE = "too_large"
 
 
 class StoreError(Exception):
-    """A call to the object API did not succeed.
+    """A call to the object API failed.
 
     Attributes:
-      kind: what is known about it.
+      kind: reason of the failure.
     """
 
     def __init__(self, kind: StoreErrorKind, message: str = ""):
@@ -46,7 +46,7 @@
 
     Attributes:
       name: full name, ``kind/name``.
-      version: position of this state; rises with each write of any object.
+      version: position of this state; increases with each write of any object.
       value: content; empty when deleted.
       deleted: whether this state is the deletion.
     """
@@ -66,30 +66,30 @@
 
 
 class Eras(abc.ABC):
-    """Which era the store is in, as far as its answers told."""
+    """Validates the eras that responses with state of the store name."""
 
     @property
     @abc.abstractmethod
     def current(self) -> int:
-        """The present era; 0 while none is known."""
+        """The current era; 0 while none is known."""
 
     @abc.abstractmethod
     def take(self, era: int | None) -> int:
-        """Takes in the era that an answer names.
+        """Validates and records the era that a response names.
 
         Args:
-          era: the era, None where the answer names none that can be read.
+          era: the era; None if the response names no valid one.
 
         Returns:
-          The era to which what the answer says belongs.
+          The era that the content of the response belongs to.
 
         Raises:
-          StoreError: what it says must not be taken in.
+          StoreError: the content of the response must not be used.
         """
 
 
 class ObjectStore(abc.ABC):
-    """The object API. Every method raises ``StoreError``."""
+    """The object API. Every method raises ``StoreError`` on failure."""
 
     @abc.abstractmethod
     async def read(self, name: str) -> StoredObject:
@@ -103,13 +103,13 @@
     async def write(
         self, name: str, value: bytes, expected_version: positions.Position
     ) -> StoredObject:
-        """Writes one object if its version is still the expected one.
+        """Writes one object if its version is the expected one.
 
         Args:
           name: full name.
           value: new content, at most ``VALUE_LIMIT`` bytes.
-          expected_version: present version; ``NOWHERE`` means that it must not
-            exist.
+          expected_version: current version; ``NOWHERE`` means that the object
+            must not exist.
 
         Returns:
           The object as written, with its new version.
@@ -119,15 +119,15 @@
     async def delete(
         self, name: str, expected_version: positions.Position
     ) -> None:
-        """Deletes one object if its version is still the expected one."""
+        """Deletes one object if its version is the expected one."""
 
     @abc.abstractmethod
     def watch(
         self, prefix: str, after: positions.Position
     ) -> AsyncIterator[StoredObject]:
-        """Yields the states written after a position, as long as it is read.
+        """Yields the states that are written after a position.
 
         The iterator ends without an error when the platform closes the watch;
-        it raises ``StoreError`` when events were lost and a new listing is
+        it raises ``StoreError`` if events were lost and a new listing is
         needed.
         """
--- a/rhubarblock/store/storewire.py
+++ b/rhubarblock/store/storewire.py
@@ -1,7 +1,7 @@
 """Names and encodings of the object API over HTTP.
 
-The protocol is described in docs/standins-platform.md; the client here and
-the stand-in's server share this module, so that it is written down once.
+The protocol is described in docs/standins-platform.md; the client and the
+stand-in's server share this module, so that they cannot differ.
 """
 
 import base64
@@ -30,10 +30,10 @@
 
 
 def encode_position(position: positions.Position) -> int:
-    """Returns a position as the number that the protocol knows.
+    """Encodes a position as a number.
 
     Raises:
-      ValueError: it is of another era than 0; the protocol has no eras.
+      ValueError: the era is not 0; the protocol has no eras.
     """
     if position.era:
         raise ValueError(f"the protocol has no word for era {position.era}")
@@ -41,12 +41,12 @@
 
 
 def decode_position(number: int) -> positions.Position:
-    """Reads what ``encode_position`` made."""
+    """Decodes the result of ``encode_position``."""
     return positions.Position(0, number)
 
 
 def encode_object(stored: stores.StoredObject) -> dict[str, Any]:
-    """Returns an object as the JSON value of listings and watches."""
+    """Encodes an object as the JSON value of listings and watches."""
     return {
         "name": stored.name,
         "version": encode_position(stored.version),
@@ -56,7 +56,7 @@
 
 
 def decode_object(fields: dict[str, Any]) -> stores.StoredObject:
-    """Reads what ``encode_object`` made."""
+    """Decodes the result of ``encode_object``."""
     return stores.StoredObject(
         name=fields["name"],
         version=decode_position(fields["version"]),
@@ -66,10 +66,10 @@
 
 
 def encode_event(stored: stores.StoredObject) -> bytes:
-    """Returns a watched state as one line."""
+    """Encodes a watched state as one line."""
     return json.dumps(encode_object(stored)).encode() + b"\n"
 
 
 def decode_event(line: bytes) -> stores.StoredObject:
-    """Reads one line of a watch."""
+    """Decodes one line of a watch."""
     return decode_object(json.loads(line))
