--- a/rhubarblock/settings/__init__.py
+++ b/rhubarblock/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in INI, checked whole before anything starts."""
+"""Settings of an instance, validated as a whole before it starts."""
--- a/rhubarblock/settings/entry.py
+++ b/rhubarblock/settings/entry.py
@@ -1,7 +1,7 @@
 """The settings of one entry instance, section by section.
 
-Every field is a key of ``entry.ini``; ``settings.fields.declare`` gives the
-values that it allows, its default and its help.
+Every field is a key of ``entry.ini``; ``settings.fields.declare`` states its
+allowed values, its default and its help text.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class InstanceSettings:
-    """Section [instance]: who and where this instance is."""
+    """Section [instance]: identity and addresses of this instance."""
 
     id: str = fields.declare(
         kinds.Name(), "Unique name of this instance among all instances."
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PeersSettings:
-    """Section [peers]: the calls between instances."""
+    """Section [peers]: communication between instances."""
 
     seeds: tuple[kinds.Address, ...] = fields.declare(
         kinds.Items(kinds.HostPort(least_port=1)),
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RoutingSettings:
-    """Section [routing]: how requests find an endpoint."""
+    """Section [routing]: choice of an endpoint for a request."""
 
     policy: str = fields.declare(
         kinds.Name(),
@@ -122,7 +122,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LimitsSettings:
-    """Section [limits]: bounds on what one instance holds."""
+    """Section [limits]: limits on requests, queues and buffers."""
 
     body_bytes: int = fields.declare(
         kinds.Integer(1024, 1 << 30),
@@ -156,7 +156,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MetricsSettings:
-    """Section [metrics]: where counters go."""
+    """Section [metrics]: export of the metrics."""
 
     statsd: kinds.Address | None = fields.declare(
         kinds.HostPort(empty=True, least_port=1),
@@ -170,7 +170,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LogsSettings:
-    """Section [logs]: what is written to standard error."""
+    """Section [logs]: log output to standard error."""
 
     level: str = fields.declare(
         kinds.Choice(LOG_LEVELS), "Least level written.", "info"
@@ -179,7 +179,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DrainSettings:
-    """Section [drain]: the planned stop."""
+    """Section [drain]: planned stop of the instance."""
 
     deadline_s: float = fields.declare(
         kinds.Number(1.0, 86_400.0),
@@ -222,7 +222,7 @@
     )
 
 
-# The sections in the order of the operators' page.
+# The sections in the order of the operators' documentation.
 SECTION_TYPES: dict[str, type] = {
     "instance": InstanceSettings,
     "platform": PlatformSettings,
--- a/rhubarblock/settings/exchange.py
+++ b/rhubarblock/settings/exchange.py
@@ -1,7 +1,7 @@
-"""Settings of an instance that passes opaque exchanges on.
+"""Settings of an instance that forwards opaque exchanges.
 
-They say where it listens, where the store is and which bounds it must keep.
-The format in which a deployment gives them is not known here.
+They hold its listening addresses, the address of the store and the bounds to
+keep, independent of the format in which a deployment states them.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SettingError:
-    """One value that can't be used.
+    """An invalid value.
 
     Attributes:
       field: dotted name of the field.
@@ -27,21 +27,22 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ExchangeBounds:
-    """Bounds that the deployment promises to its callers.
+    """Bounds that a deployment guarantees to its callers.
 
-    The defaults are for deployments that promise nothing of the kind; each is
-    at least as strict as what is known of any.
+    The defaults apply if a deployment guarantees nothing; each is at least as
+    strict as the bound of any known deployment.
 
     Attributes:
-      grace_s: seconds from the signal to stop until the process is killed.
-      drain_s: seconds for which an endpoint that leaves may get new work.
-      apply_s: seconds until a configuration is in force everywhere.
-      revoke_s: seconds until a removed key is refused everywhere.
-      retry_ratio: repeats allowed for each request of a service.
-      retry_slack: repeats allowed besides, by all instances together.
-      retry_window_s: seconds of the window in which both are counted.
-      lease_max_s: longest memory lease at an engine, in seconds.
-      lease_free_s: seconds after a request's end by which its memory is free.
+      grace_s: seconds from the stop signal until the process is killed.
+      drain_s: seconds for which a leaving endpoint may still get new requests.
+      apply_s: seconds until all instances use a new configuration.
+      revoke_s: seconds until all instances reject a removed key.
+      retry_ratio: retries allowed per request of a service.
+      retry_slack: additional retries allowed, by all instances together.
+      retry_window_s: seconds of the window over which both are counted.
+      lease_max_s: maximum duration of a memory lease at an engine, in seconds.
+      lease_free_s: seconds after the end of a request within which the memory
+        that it leased must be free.
     """
 
     grace_s: float = 8.0
@@ -57,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SocketAddress:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -68,19 +69,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ExchangeSettings:
-    """Everything an instance is told at its start.
+    """All settings of an instance.
 
     Attributes:
       instance_id: unique name.
       data_centre: data centre in which it runs.
-      callers: where callers connect.
-      readiness: where the balancer asks whether it is ready.
-      peers: where peers reach it, over TCP and UDP.
-      metrics: where counters are read.
+      callers: address on which callers connect.
+      readiness: address of the load balancer's readiness check.
+      peers: address on which peers reach it, over TCP and UDP.
+      metrics: address on which metrics are scraped.
       store: address of the object API.
-      bounds: promised bounds.
-      is_first_start: whether nothing of the fleet ran before.
-      capacity: what its machine can carry.
+      bounds: guaranteed bounds.
+      is_first_start: whether no instance of the fleet ran before.
+      capacity: capacity of its machine.
     """
 
     instance_id: str
--- a/rhubarblock/settings/fields.py
+++ b/rhubarblock/settings/fields.py
@@ -1,8 +1,8 @@
-"""Declares the keys of a section and reads a section by them.
+"""Declares the keys of a section and parses a section by them.
 
-A dataclass field made by ``declare`` is a key: its kind says what values it
-allows, its help stands in the operators' page. One loop then checks any
-section, so an unknown key or a wrong value reads the same everywhere.
+A dataclass field made by ``declare`` is a key: its kind defines the allowed
+values, and its help text appears in the operators' documentation. One function
+validates every section, so that errors are the same for all of them.
 """
 
 import dataclasses
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
-    """What is wrong with one key or section.
+    """An error in one key or section.
 
     Attributes:
-      line: line number; 0 when it stands in no line.
+      line: line number; 0 if the key or section is not in the file.
       section: name of the section.
-      key: name of the key; empty when the section itself is meant.
+      key: name of the key; empty if the error is in the section itself.
       message: what is wrong.
-      allowed: what would be right.
+      allowed: what would be valid, or empty.
     """
 
     line: int
@@ -37,8 +37,8 @@
 
     def format(self, filename: str) -> str:
         """Returns the fault as one line of text."""
-        place = f"{filename}:{self.line}" if self.line else filename
-        parts = [f"{place}:"]
+        location = f"{filename}:{self.line}" if self.line else filename
+        parts = [f"{location}:"]
         if self.section:
             parts.append(f"[{self.section}]")
         if self.key:
@@ -55,9 +55,9 @@
 
     Attributes:
       name: name in the file.
-      kind: values that it allows.
-      help: what it does, as a sentence.
-      default: value when it is absent; ``dataclasses.MISSING`` if required.
+      kind: kind of its values.
+      help: its effect, as a sentence.
+      default: value if the key is absent; ``dataclasses.MISSING`` if required.
     """
 
     name: str
@@ -77,9 +77,9 @@
     """Returns a dataclass field that is a key of a section.
 
     Args:
-      kind: values that it allows.
-      help: what it does, as a sentence.
-      default: value when it is absent; required when not given.
+      kind: kind of its values.
+      help: its effect, as a sentence.
+      default: value if the key is absent; without it the key is required.
     """
     metadata = {_KIND: kind, _HELP: help}
     return dataclasses.field(default=default, metadata=metadata)
@@ -101,14 +101,14 @@
 def read_section(
     section: inifile.Section, keys: dict[str, Key]
 ) -> tuple[dict[str, Any], list[Fault]]:
-    """Reads a section by its keys.
+    """Parses and validates the values of a section.
 
     Args:
-      section: the section as read.
-      keys: the keys that it may have.
+      section: the section as text.
+      keys: the allowed keys, by name.
 
     Returns:
-      The value of every key that is right or has a default, and the faults.
+      The value of every key that is valid or has a default, and the faults.
     """
     faults = _find_unknown(section, keys)
     values: dict[str, Any] = {}
@@ -116,7 +116,7 @@
         entry = section.entries.get(key.name)
         if entry is None:
             if key.required:
-                faults.append(_report_missing(section, key))
+                faults.append(_make_missing_fault(section, key))
             else:
                 values[key.name] = key.default
             continue
@@ -147,7 +147,7 @@
     ]
 
 
-def _report_missing(section: inifile.Section, key: Key) -> Fault:
+def _make_missing_fault(section: inifile.Section, key: Key) -> Fault:
     return Fault(
         section.line,
         section.name,
--- a/rhubarblock/settings/inifile.py
+++ b/rhubarblock/settings/inifile.py
@@ -1,8 +1,8 @@
-"""Reads an INI file into sections that remember their lines.
+"""Parses an INI file into sections with line numbers.
 
-``configparser`` stops at the first fault and forgets line numbers. Operators
-want every fault at once with its place, so lines are kept here; the syntax is
-that of ``configparser`` without interpolation and without inline comments.
+``configparser`` stops at the first fault and keeps no line numbers. This parser
+reports every fault with its line; its syntax is that of ``configparser``
+without interpolation and without inline comments.
 """
 
 import dataclasses
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SyntaxFault:
-    """A line that cannot be read."""
+    """A line that cannot be parsed."""
 
     line: int
     section: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Document:
-    """All sections in their order, and the faults found on the way."""
+    """All sections in order, and the faults that were found."""
 
     sections: dict[str, Section] = dataclasses.field(default_factory=dict)
     faults: list[SyntaxFault] = dataclasses.field(default_factory=list)
@@ -46,8 +46,8 @@
 _COMMENT_MARKS = ("#", ";")
 
 
-class _Reader:
-    """Goes through the lines once."""
+class _Parser:
+    """Parses the lines in one pass."""
 
     __slots__ = ("_document", "_section", "_key")
 
@@ -56,7 +56,7 @@
         self._section: Section | None = None
         self._key = ""
 
-    def read(self, text: str) -> Document:
+    def parse(self, text: str) -> Document:
         for number, raw in enumerate(text.splitlines(), start=1):
             line = raw.strip()
             if not line or line.startswith(_COMMENT_MARKS):
@@ -109,12 +109,12 @@
 
 
 def parse_document(text: str) -> Document:
-    """Reads the text of an INI file.
+    """Parses the text of an INI file.
 
     Args:
       text: the whole text.
 
     Returns:
-      The sections that could be read and every fault.
+      The sections that could be parsed, and every fault.
     """
-    return _Reader().read(text)
+    return _Parser().parse(text)
--- a/rhubarblock/settings/inifile_test.py
+++ b/rhubarblock/settings/inifile_test.py
@@ -8,7 +8,7 @@
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 
 
-def test_every_fault_has_its_line():
+def test_every_fault_is_reported_with_its_line():
     text = "early = 1\n[a]\nx = 1\nx = 2\nloose\n[b\n[a]\n"
     faults = [
         (f.line, f.section, f.key, f.message)
@@ -23,7 +23,7 @@
     ]
 
 
-def test_values_go_on_in_indented_lines():
+def test_indented_lines_continue_a_value():
     document = inifile.parse_document("[a]\nx = 1,\n  # no\n  2\ny =\n")
     entries = document.sections["a"].entries
     assert entries == {
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     "path", sorted(EXAMPLES.rglob("*.ini")), ids=lambda path: path.name
 )
-def test_it_reads_what_configparser_reads(path):
+def test_result_equals_that_of_configparser(path):
     text = path.read_text()
     reference = configparser.ConfigParser(interpolation=None, delimiters=("=",))
     reference.optionxform = str
--- a/rhubarblock/settings/kinds.py
+++ b/rhubarblock/settings/kinds.py
@@ -1,7 +1,7 @@
-"""Kinds of value that stand in INI files.
+"""Kinds of values in INI files.
 
-Each kind reads a text, and can say in one phrase what it allows. Settings and
-catalogue files share them, so an error reads the same in both.
+Each kind parses a text and describes in one phrase what it allows. Settings and
+catalogue files share them, so that error messages are the same in both.
 """
 
 import abc
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Address:
-    """An IP number and a port; port 0 lets the machine choose.
+    """An IP address and a port; port 0 lets the operating system choose.
 
     Attributes:
-      host: IP number.
+      host: IP address.
       port: TCP or UDP port.
     """
 
@@ -38,7 +38,7 @@
 
 
 class ValueKind(abc.ABC):
-    """Reads one kind of value."""
+    """Parses and formats one kind of value."""
 
     @abc.abstractmethod
     def parse(self, text: str) -> Any:
@@ -50,20 +50,20 @@
 
     @abc.abstractmethod
     def describe(self) -> str:
-        """Returns what is allowed, as a phrase for error messages."""
+        """Returns a phrase for error messages that says what is allowed."""
 
     def format(self, value: Any) -> str:
         """Returns the text of a value."""
         return str(value)
 
     def read(self, text: str) -> result.Result[Any, str]:
-        """Reads a text.
+        """Parses a text without raising.
 
         Args:
           text: text of the value without surrounding space.
 
         Returns:
-          The value, or what is wrong with the text.
+          The value, or an error message.
         """
         try:
             return result.Success(self.parse(text))
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Text(ValueKind):
-    """Any text on one line."""
+    """Any printable text on one line."""
 
     empty: bool = False
 
@@ -112,13 +112,13 @@
 
 
 def is_name(text: str) -> bool:
-    """Says whether a text can be the name of an entry."""
+    """Returns whether a text is a valid name of an entry."""
     return _NAME_PATTERN.fullmatch(text) is not None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Number(ValueKind):
-    """A number within bounds."""
+    """A finite number within bounds."""
 
     least: float = 0.0
     most: float = math.inf
@@ -201,7 +201,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Member(ValueKind):
-    """One member of an enumeration, written as its value."""
+    """A member of an enumeration, written as its value."""
 
     members: type[enum.Enum]
 
@@ -220,7 +220,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class HostPort(ValueKind):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     empty: bool = False
     least_port: int = 0
@@ -250,7 +250,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Items(ValueKind):
-    """Values of one kind, separated by commas or new lines."""
+    """Values of one kind, separated by commas or line breaks."""
 
     kind: ValueKind
 
@@ -301,7 +301,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Date(ValueKind):
-    """A day as YYYY-MM-DD, kept as text, or empty."""
+    """A date as YYYY-MM-DD, kept as text, or empty."""
 
     def parse(self, text: str) -> str:
         if not text:
--- a/rhubarblock/settings/kinds_test.py
+++ b/rhubarblock/settings/kinds_test.py
@@ -23,7 +23,7 @@
         (kinds.Date(), "2029-12-31", "2029-12-31"),
     ],
 )
-def test_values_read_and_write_the_same(kind, text, value):
+def test_parsed_values_format_to_the_same_text(kind, text, value):
     assert kind.read(text) == result.Success(value)
     assert kind.format(value) == text
 
@@ -50,5 +50,5 @@
         (kinds.Date(), "2029-02-30", "'2029-02-30' is not a day"),
     ],
 )
-def test_wrong_values_are_refused(kind, text, message):
+def test_invalid_values_are_rejected(kind, text, message):
     assert kind.read(text) == result.Failure(message)
--- a/rhubarblock/settings/loader.py
+++ b/rhubarblock/settings/loader.py
@@ -1,8 +1,8 @@
-"""Loads the settings of an entry instance, or says all that is wrong.
+"""Loads the settings of an entry instance or reports all their errors.
 
 Four stages run in order: read the file, parse its sections, check the type of
-each key, check keys against each other. A stage works on what the one before
-could make sense of, so that one run shows every error.
+each key, check keys against each other. Each stage works on the valid part of
+the previous result, so that one run reports every error.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 from rhubarblock.settings import inifile
 from rhubarblock.settings import kinds
 
-# A settings file larger than this is a mistake, not settings.
+# A larger file is a mistake and no settings file.
 MAX_FILE_BYTES = 1 << 20
 
 
@@ -31,7 +31,7 @@
       section: section, or empty.
       key: key, or empty.
       message: what is wrong.
-      allowed: what would be right, or empty.
+      allowed: what would be valid, or empty.
     """
 
     file: str
@@ -58,17 +58,17 @@
 
     Args:
       path: the file.
-      policies: names of the policies that are registered; None checks no name.
+      policies: names of the registered policies; None skips the check.
 
     Returns:
-      The settings, or every error in the order of the lines.
+      The settings, or all errors in the order of the lines.
     """
     text = read_text(path)
     if isinstance(text, result.Failure):
         return result.Failure((text.failure(),))
     known = None if policies is None else tuple(policies)
-    loading = _Loading(pathlib.Path(path), known)
-    return loading.load(text.unwrap())
+    loader = _Loader(pathlib.Path(path), known)
+    return loader.load(text.unwrap())
 
 
 def read_text(
@@ -80,28 +80,30 @@
       path: the file.
 
     Returns:
-      Its text, or why it cannot be read.
+      The text, or the error.
     """
     try:
         with open(path, "rb") as file:
             content = file.read(MAX_FILE_BYTES + 1)
         text = content.decode()
     except OSError as error:
-        return result.Failure(_report_file(path, error.strerror or str(error)))
+        return result.Failure(
+            _make_file_error(path, error.strerror or str(error))
+        )
     except UnicodeDecodeError as error:
-        return result.Failure(_report_file(path, f"is not UTF-8: {error}"))
+        return result.Failure(_make_file_error(path, f"is not UTF-8: {error}"))
     if len(content) > MAX_FILE_BYTES:
         message = f"is larger than {MAX_FILE_BYTES} bytes"
-        return result.Failure(_report_file(path, message))
+        return result.Failure(_make_file_error(path, message))
     return result.Success(text)
 
 
-def _report_file(path: str | pathlib.Path, message: str) -> SettingsError:
+def _make_file_error(path: str | pathlib.Path, message: str) -> SettingsError:
     return SettingsError(str(path), 0, "", "", message)
 
 
-class _Loading:
-    """The stages and the faults that they found."""
+class _Loader:
+    """Runs the stages and collects the faults that they find."""
 
     __slots__ = ("_path", "_policies", "_document", "_faults")
 
@@ -114,7 +116,7 @@
     def load(self, text: str) -> Loaded:
         self._parse(text)
         sections = self._read_sections()
-        self._check_together(sections)
+        self._check_combinations(sections)
         if self._faults:
             return result.Failure(self._collect_errors())
         return result.Success(entry_settings.EntrySettings(**sections))
@@ -122,16 +124,16 @@
     def _parse(self, text: str) -> None:
         self._document = inifile.parse_document(text)
         for fault in self._document.faults:
-            self._add(fault.line, fault.section, fault.key, fault.message)
+            self._add_fault(fault.line, fault.section, fault.key, fault.message)
         allowed = ", ".join(entry_settings.SECTION_TYPES)
         for section in self._document.sections.values():
             if section.name not in entry_settings.SECTION_TYPES:
-                self._add(
+                self._add_fault(
                     section.line, section.name, "", "unknown section", allowed
                 )
 
     def _read_sections(self) -> dict[str, Any]:
-        """Returns each section whose keys are all right."""
+        """Returns the sections without faults, by name."""
         sections = {}
         for name, section_type in entry_settings.SECTION_TYPES.items():
             section = self._document.sections.get(name)
@@ -145,7 +147,7 @@
         return sections
 
     def _resolve_paths(self, section: Any) -> Any:
-        """Makes the paths of a section start at the settings file."""
+        """Resolves the paths of a section relative to the settings file."""
         if not isinstance(section, entry_settings.PeersSettings):
             return section
         return dataclasses.replace(
@@ -158,7 +160,7 @@
     def _resolve_path(self, path: str) -> str:
         return str(self._path.parent / path) if path else ""
 
-    def _check_together(self, sections: dict[str, Any]) -> None:
+    def _check_combinations(self, sections: dict[str, Any]) -> None:
         if "instance" in sections:
             self._check_addresses(sections["instance"])
         if "peers" in sections:
@@ -171,20 +173,20 @@
     def _check_addresses(
         self, instance: entry_settings.InstanceSettings
     ) -> None:
-        taken: dict[kinds.Address, str] = {}
+        key_by_address: dict[kinds.Address, str] = {}
         for key in ("listen", "admin_listen", "peer_listen"):
             address = getattr(instance, key)
-            first = taken.setdefault(address, key)
+            first = key_by_address.setdefault(address, key)
             if first != key and address.port:
-                self._add_key("instance", key, f"is the same as {first}")
+                self._add_key_fault("instance", key, f"is the same as {first}")
         if instance.advertise is None and _is_wildcard(instance.peer_listen):
-            self._add_key(
+            self._add_key_fault(
                 "instance",
                 "advertise",
                 "must be given when peer_listen takes every address",
             )
         if instance.advertise and _is_wildcard(instance.advertise):
-            self._add_key(
+            self._add_key_fault(
                 "instance", "advertise", "is no address that others can reach"
             )
 
@@ -198,18 +200,18 @@
             return
         for key, path in given.items():
             if not path:
-                self._add_key(
+                self._add_key_fault(
                     "peers",
                     key,
                     "is missing",
                     "certificate, key and authority together, or none",
                 )
             elif not pathlib.Path(path).is_file():
-                self._add_key("peers", key, f"no such file: {path}")
+                self._add_key_fault("peers", key, f"no such file: {path}")
 
     def _check_queue(self, limits: entry_settings.LimitsSettings) -> None:
         if limits.queue_bytes < limits.body_bytes:
-            self._add_key(
+            self._add_key_fault(
                 "limits",
                 "queue_bytes",
                 "the largest body does not fit into the queue",
@@ -222,25 +224,25 @@
         policies: tuple[str, ...],
     ) -> None:
         if routing.policy not in policies:
-            self._add_key(
+            self._add_key_fault(
                 "routing",
                 "policy",
                 f"{routing.policy!r} is not registered",
                 "one of " + ", ".join(policies),
             )
 
-    def _add_key(
+    def _add_key_fault(
         self, section: str, key: str, message: str, allowed: str = ""
     ) -> None:
-        """Adds a fault at the line of a key, or of its section."""
+        """Adds a fault with the line of a key, or of its section."""
         line = 0
-        present = self._document.sections.get(section)
-        if present is not None:
-            given = present.entries.get(key)
-            line = given.line if given else present.line
-        self._add(line, section, key, message, allowed)
+        parsed = self._document.sections.get(section)
+        if parsed is not None:
+            entry = parsed.entries.get(key)
+            line = entry.line if entry else parsed.line
+        self._add_fault(line, section, key, message, allowed)
 
-    def _add(
+    def _add_fault(
         self,
         line: int,
         section: str,
--- a/rhubarblock/settings/loader_test.py
+++ b/rhubarblock/settings/loader_test.py
@@ -9,7 +9,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 
-SMALL = """\
+MINIMAL = """\
 [instance]
 id = osu-1
 data_centre = osu-hall
@@ -34,8 +34,8 @@
     return [str(e).replace(str(tmp_path) + "/", "") for e in errors]
 
 
-def test_a_small_file_gets_the_defaults(tmp_path):
-    settings = load(tmp_path, SMALL).unwrap()
+def test_a_minimal_file_gets_the_defaults(tmp_path):
+    settings = load(tmp_path, MINIMAL).unwrap()
     assert settings.instance.listen == kinds.Address("127.0.0.1", 8080)
     assert settings.instance.advertise is None
     assert settings.routing == entry.RoutingSettings()
@@ -80,7 +80,7 @@
 
 
 def test_keys_are_checked_against_each_other(tmp_path):
-    text = SMALL.replace("8081", "8080").replace(
+    text = MINIMAL.replace("8081", "8080").replace(
         "peer_listen = 127.0.0.1", "peer_listen = 0.0.0.0"
     )
     text += "[peers]\ncertificate = c.pem\nkey = k.pem\n"
@@ -98,12 +98,12 @@
     ]
 
 
-def test_certificates_lie_beside_the_file(tmp_path):
+def test_certificate_paths_are_relative_to_the_file(tmp_path):
     names = ("certificate", "key", "authority")
     for name in names:
         (tmp_path / name).touch()
     lines = "".join(f"{name} = {name}\n" for name in names)
-    settings = load(tmp_path, SMALL + "[peers]\n" + lines).unwrap()
+    settings = load(tmp_path, MINIMAL + "[peers]\n" + lines).unwrap()
     assert settings.peers.key == str(tmp_path / "key")
     assert settings.peers.secure
 
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("name", "count"), [("adwoa", 7), ("hofbauer", 6)])
-def test_the_examples_are_whole(name, count):
+def test_the_examples_load_without_errors(name, count):
     root = ROOT / "examples" / name
     paths = [root / "entry.ini", *root.glob("instances/*.ini")]
     loaded = [
--- a/rhubarblock/settings/reference.py
+++ b/rhubarblock/settings/reference.py
@@ -1,7 +1,7 @@
-"""Writes the reference tables of the operators' pages.
+"""Generates the reference tables of the operators' documentation.
 
-The tables come from the declarations that the loaders use; a test holds the
-pages against them, so a key cannot go undocumented.
+The tables come from the declarations that the loaders use; a test compares the
+documentation with them, so no key can be left undocumented.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 def format_settings() -> str:
-    """Returns the reference of ``entry.ini``, a table for each section."""
+    """Returns the reference of ``entry.ini``, one table per section."""
     blocks = [
         f"### [{name}]\n\n" + format_keys(fields.list_keys(section).values())
         for name, section in entry_settings.SECTION_TYPES.items()
