--- a/rhubarblock/fleet/__init__.py
+++ b/rhubarblock/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Instances and endpoints: membership, peers, endpoint life, orders."""
+"""Instances and endpoints: membership, peers, endpoint state, orders."""
--- a/rhubarblock/fleet/assignment.py
+++ b/rhubarblock/fleet/assignment.py
@@ -1,8 +1,8 @@
-"""Duties spread over the instances by rendezvous hashing.
+"""Assigns keys to instances by rendezvous hashing.
 
-Every instance computes the same holder from the same list of members, and a
-member that comes or goes moves only the duties that it takes or held. Views
-may disagree for a while, so a duty must be harmless when two hold it.
+Every instance computes the same coordinator from the same list of members. A
+member that joins or leaves moves only the keys assigned to itself. Views may
+differ for a while, so work assigned this way must tolerate two coordinators.
 """
 
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 def choose_coordinator(
     key: str, candidates: Iterable[members.Member]
 ) -> members.Member | None:
-    """Chooses the member that holds a duty.
+    """Chooses the coordinator of a key.
 
     Args:
-      key: name of the duty, e.g. ``endpoint/rhubarb-pool-3``.
+      key: what is coordinated, e.g. ``endpoint/rhubarb-pool-3``.
       candidates: the live members.
 
     Returns:
-      The holder, or None when there are no candidates.
+      The coordinator, or None if there are no candidates.
     """
     return max(
         candidates,
@@ -34,10 +34,10 @@
 def choose_subset(
     key: str, candidates: Iterable[members.Member], n: int
 ) -> list[members.Member]:
-    """Chooses the members that share a duty, the first holder first.
+    """Chooses the members that share a key, the coordinator first.
 
     Args:
-      key: name of the duty.
+      key: what is shared.
       candidates: the live members.
       n: size of the subset.
 
--- a/rhubarblock/fleet/assignment_test.py
+++ b/rhubarblock/fleet/assignment_test.py
@@ -13,7 +13,7 @@
     return assignment.choose_coordinator(key, candidates).instance_id
 
 
-def test_choice_is_the_same_in_every_run_and_order():
+def test_choice_is_deterministic_and_independent_of_order():
     candidates = make_members(7)
     keys = [f"endpoint/{number}" for number in range(6)]
     forward = [choose(key, candidates) for key in keys]
@@ -22,12 +22,12 @@
     assert backward == forward
 
 
-def test_nobody_holds_a_duty_without_members():
+def test_no_members_means_no_coordinator():
     assert assignment.choose_coordinator("key", []) is None
     assert assignment.choose_subset("key", [], 2) == []
 
 
-def test_member_that_leaves_moves_only_its_own_duties():
+def test_leaving_member_moves_only_its_own_keys():
     candidates = make_members(9)
     keys = [f"endpoint/{number}" for number in range(500)]
     before = {key: choose(key, candidates) for key in keys}
@@ -36,7 +36,7 @@
     assert moved == {key for key in keys if before[key] == "i4"}
 
 
-def test_duties_spread_evenly():
+def test_keys_spread_evenly():
     candidates = make_members(8)
     held = [choose(f"workspace/{number}", candidates) for number in range(4000)]
     counts = [held.count(member.instance_id) for member in candidates]
--- a/rhubarblock/fleet/distribution.py
+++ b/rhubarblock/fleet/distribution.py
@@ -1,9 +1,10 @@
-"""Brings the catalogue to every instance; its revision only ever rises.
+"""Distributes the catalogue to every instance with a monotonic revision.
 
-Two instances of a data centre watch the platform. A new revision goes to the
-others along a tree; who is left out hears of it by the revisions in the
-heartbeats and fetches it from a peer. No answer of the platform or of a peer
-is believed that holds an older revision than the one in force.
+In each data centre a few watchers watch the platform. A new revision is
+announced to the other instances along a broadcast tree. An instance that
+misses the announcement sees the revision in its peers' heartbeats and fetches
+the catalogue from one of them. Responses of the platform or of peers with an
+older revision than the one in force are ignored.
 """
 
 import asyncio
@@ -36,10 +37,10 @@
 NOTICE_KIND = "catalogue.notice"
 FETCH_KIND = "catalogue.fetch"
 
-# Instances that each one tells of a new revision.
+# Fan-out of the broadcast tree.
 _FAN_OUT = 4
-# Peers that are asked for their revision at the same time.
-_CONCURRENT_ASKS = 32
+# Most peers whose revision is queried at a time.
+_MAX_CONCURRENT_QUERIES = 32
 
 Listener = Callable[[catalogues.Catalogue], None]
 
@@ -48,30 +49,33 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DistributionSettings:
-    """Times in seconds, and numbers.
+    """Times in seconds, and counts.
 
     Attributes:
       watchers: instances of a data centre that watch the platform.
-      duty_interval_s: time between two looks at who the watchers are.
-      watcher_poll_s: time between two reads by a watcher, against lost events.
-      poll_s: the same for every other instance.
-      call_timeout_s: time to wait for a peer.
-      pull_interval_s: time between two looks for a peer that is ahead.
-      first_asks: peers that a starting instance asks.
+      role_interval_s: time between two checks of whether this instance is a
+        watcher.
+      watcher_poll_s: time between two reads by a watcher, which cover lost
+        watch events.
+      poll_s: time between two reads by every other instance.
+      call_timeout_s: timeout of a call to a peer.
+      pull_interval_s: time between two checks for a peer with a newer
+        revision.
+      bootstrap_peers: peers from which a starting instance fetches.
     """
 
     watchers: int = 2
-    duty_interval_s: float = 0.5
+    role_interval_s: float = 0.5
     watcher_poll_s: float = 1.5
     poll_s: float = 30.0
     call_timeout_s: float = 1.0
     pull_interval_s: float = 0.5
-    first_asks: int = 3
+    bootstrap_peers: int = 3
 
 
 @dataclasses.dataclass(slots=True)
 class DistributionCounters:
-    """What the follower counted since its start."""
+    """Counters of the follower since its start."""
 
     platform_reads: int = 0
     platform_failures: int = 0
@@ -84,7 +88,7 @@
 
 
 class CatalogueFollower:
-    """The catalogue in force at one instance."""
+    """Keeps the newest known catalogue in force at one instance."""
 
     def __init__(
         self,
@@ -98,12 +102,12 @@
         """Creates a follower with the empty catalogue in force.
 
         Args:
-          membership: the instances, which also hear the revision in force.
-          transport: calls to peers.
+          membership: the instances; also announces the revision in force.
+          transport: carries calls to peers.
           store: the platform's object API.
           timers: the timer service.
-          rng: spreads what instances would else do at the same moment.
-          settings: times and numbers.
+          rng: adds jitter and chooses peers.
+          settings: times and counts.
         """
         self._membership = membership
         self._transport = transport
@@ -118,8 +122,8 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._polled_s = float("-inf")
         self.counters = DistributionCounters()
-        transport.register(NOTICE_KIND, self._answer_notice)
-        transport.register(FETCH_KIND, self._answer_fetch)
+        transport.register(NOTICE_KIND, self._handle_notice)
+        transport.register(FETCH_KIND, self._handle_fetch)
 
     @property
     def catalogue(self) -> catalogues.Catalogue:
@@ -140,29 +144,29 @@
         return self._catalogue.revision
 
     def subscribe(self, listener: Listener) -> None:
-        """Calls a listener with each later catalogue, as long as it lives."""
+        """Calls a listener with each new catalogue; there is no unsubscribe."""
         self._listeners.append(listener)
 
     def accept(self, catalogue: catalogues.Catalogue) -> None:
-        """Puts a catalogue in force that the platform accepted just now.
+        """Puts in force a catalogue that the platform has just accepted.
 
         Args:
-          catalogue: what a change through this instance made.
+          catalogue: the result of a change made through this instance.
         """
         content = codec.encode(catalogue)
         if self._put_in_force(catalogue, content):
-            self._start(self._tell_first())
+            self._start(self._start_broadcast())
 
     async def collect_revisions(self) -> dict[str, int | None]:
-        """Asks every live instance for the revision that it has in force.
+        """Queries every live instance for its revision in force.
 
         Returns:
-          The revision by instance id; None for one that does not answer.
+          The revision by instance id; None for instances that do not respond.
         """
-        gate = asyncio.Semaphore(_CONCURRENT_ASKS)
+        limit = asyncio.Semaphore(_MAX_CONCURRENT_QUERIES)
         live = self._membership.live_instances()
         revisions = await asyncio.gather(
-            *(self._ask_revision(member, gate) for member in live)
+            *(self._query_revision(member, limit) for member in live)
         )
         ids = [member.instance_id for member in live]
         return dict(zip(ids, revisions, strict=True))
@@ -171,28 +175,29 @@
     async def run(self) -> AsyncIterator["CatalogueFollower"]:
         """Follows the catalogue while the context is open.
 
-        It asks the peers first and the platform next, so that a platform that
-        lags behind cannot put an older revision in force at a new instance.
+        It fetches from peers first and from the platform second, so that a
+        lagging platform cannot put an older revision in force at a new
+        instance.
 
         Yields:
-          This follower, with a catalogue in force if one could be had.
+          This follower, with a catalogue in force if one could be fetched.
         """
         settings = self._settings
         with contextlib.ExitStack() as stack:
             stack.callback(self._cancel_tasks)
-            await self._pull_first()
+            await self._bootstrap_from_peers()
             await self._read_platform()
             for interval_s, tick in (
-                (settings.duty_interval_s, self._follow_duty),
-                (settings.pull_interval_s, self._pull),
+                (settings.role_interval_s, self._update_role),
+                (settings.pull_interval_s, self._pull_newer),
             ):
                 stack.enter_context(self._timers.subscribe(interval_s, tick))
             yield self
 
-    # What is in force.
+    # Catalogue in force.
 
-    def _offer(self, content: bytes) -> bool:
-        """Puts an encoded catalogue in force if it is a later one."""
+    def _apply_content(self, content: bytes) -> bool:
+        """Decodes a catalogue and puts it in force if it is newer."""
         try:
             catalogue = codec.decode(content)
         except codec.CodecError:
@@ -217,10 +222,10 @@
             listener(catalogue)
         return True
 
-    # The platform.
+    # Platform.
 
     def is_watcher(self) -> bool:
-        """Says whether it is among those that watch the platform."""
+        """Returns whether this instance is a watcher of the platform."""
         own = self._membership.own
         watchers = assignment.choose_subset(
             f"catalogue/watch/{own.data_centre}",
@@ -229,8 +234,8 @@
         )
         return any(member.instance_id == own.instance_id for member in watchers)
 
-    async def _follow_duty(self) -> None:
-        """Watches and polls the platform as far as it is due here."""
+    async def _update_role(self) -> None:
+        """Starts or stops the watch by role, and polls when due."""
         settings = self._settings
         is_watcher = self.is_watcher()
         if is_watcher and (self._watch is None or self._watch.done()):
@@ -243,21 +248,21 @@
             self._start(self._read_platform())
 
     async def _watch_platform(self) -> None:
-        pause = backoff.Backoff(self._rng, backoff.BackoffSettings())
+        retry_delay = backoff.Backoff(self._rng, backoff.BackoffSettings())
         while True:
             try:
                 version = await self._read_current()
                 self.counters.watches += 1
                 await self._read_events(version)
-                pause.reset()
+                retry_delay.reset()
             except stores.StoreError:
                 self.counters.platform_failures += 1
-            await self._timers.sleep(pause.take_delay())
+            await self._timers.sleep(retry_delay.take_delay())
 
     async def _read_events(self, version: positions.Position) -> None:
         async for stored in self._store.watch(archive.CURRENT_OBJECT, version):
-            if not stored.deleted and self._offer(stored.value):
-                self._start(self._tell_first())
+            if not stored.deleted and self._apply_content(stored.value):
+                self._start(self._start_broadcast())
 
     async def _read_platform(self) -> None:
         try:
@@ -266,9 +271,9 @@
             self.counters.platform_failures += 1
 
     async def _read_current(self) -> positions.Position:
-        """Reads the object; returns its version, NOWHERE if there is none."""
-        # The spread keeps instances that started together apart.
-        spread_s = self._rng.random() * self._settings.duty_interval_s
+        """Reads the object; returns its version, NOWHERE if it is missing."""
+        # Jitter spreads the polls of instances that started together.
+        spread_s = self._rng.random() * self._settings.role_interval_s
         self._polled_s = self._timers.read_monotonic() + spread_s
         self.counters.platform_reads += 1
         try:
@@ -277,25 +282,25 @@
             if error.kind is not stores.StoreErrorKind.NOT_FOUND:
                 raise
             return positions.NOWHERE
-        if self._offer(stored.value):
-            self._start(self._tell_first())
+        if self._apply_content(stored.value):
+            self._start(self._start_broadcast())
         return stored.version
 
     # Peers.
 
-    async def _tell_first(self) -> None:
-        """Starts the tree, beside telling those that come after here."""
-        await self._tell(0)
-        await self._tell_next()
+    async def _start_broadcast(self) -> None:
+        """Notifies the top of the tree and this instance's own children."""
+        await self._notify_from(0)
+        await self._forward_notice()
 
-    async def _tell_next(self) -> None:
-        """Tells those that come after this instance in the tree."""
+    async def _forward_notice(self) -> None:
+        """Notifies this instance's children in the tree."""
         ids = [member.instance_id for member in self._order_peers()]
         own_id = self._membership.own.instance_id
         if own_id in ids:
-            await self._tell(_FAN_OUT * (ids.index(own_id) + 1))
+            await self._notify_from(_FAN_OUT * (ids.index(own_id) + 1))
 
-    async def _tell(self, start: int) -> None:
+    async def _notify_from(self, start: int) -> None:
         own_id = self._membership.own.instance_id
         receivers = [
             member
@@ -307,7 +312,7 @@
         )
 
     def _order_peers(self) -> list[members.Member]:
-        """Returns the data centre in an order that differs by revision."""
+        """Returns the data centre's instances in an order keyed by revision."""
         own = self._membership.own
         live = self._membership.live_instances(own.data_centre)
         key = f"catalogue/tree/{self.revision}"
@@ -316,7 +321,7 @@
     async def _send_notice(
         self, receiver: members.Member, revision: int
     ) -> int | None:
-        """Tells a revision; returns the receiver's, None if unanswered."""
+        """Announces a revision; returns the receiver's, or None on failure."""
         self.counters.notices_sent += 1
         notice = distribution_pb2.RevisionNotice(revision=revision)
         try:
@@ -330,7 +335,7 @@
         except (peertransport.PeerError, protobuf_message.DecodeError):
             return None
 
-    async def _answer_notice(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_notice(self, sender: str, payload: bytes) -> bytes:
         notice = distribution_pb2.RevisionNotice.FromString(payload)
         member = self._membership.find(sender)
         if member is not None and notice.revision > self.revision:
@@ -338,16 +343,16 @@
         own = distribution_pb2.RevisionNotice(revision=self.revision)
         return own.SerializeToString()
 
-    async def _ask_revision(
-        self, member: members.Member, gate: asyncio.Semaphore
+    async def _query_revision(
+        self, member: members.Member, limit: asyncio.Semaphore
     ) -> int | None:
         if member.instance_id == self._membership.own.instance_id:
             return self.revision
-        async with gate:
+        async with limit:
             return await self._send_notice(member, 0)
 
-    async def _pull_first(self) -> None:
-        """Asks peers of the data centre, then others, for their catalogue."""
+    async def _bootstrap_from_peers(self) -> None:
+        """Fetches from a few peers, those of this data centre first."""
         own = self._membership.own
         others = [
             member
@@ -356,11 +361,11 @@
         ]
         self._rng.shuffle(others)
         others.sort(key=lambda member: member.data_centre != own.data_centre)
-        for member in others[: self._settings.first_asks]:
+        for member in others[: self._settings.bootstrap_peers]:
             await self._fetch(member)
 
-    async def _pull(self) -> None:
-        """Fetches from a peer whose heartbeats show a later revision."""
+    async def _pull_newer(self) -> None:
+        """Fetches from a peer whose heartbeats show a newer revision."""
         ahead = [
             member
             for member in self._membership.live_instances()
@@ -388,15 +393,15 @@
         ):
             self.counters.fetch_failures += 1
             return
-        if not content or not self._offer(content):
+        if not content or not self._apply_content(content):
             return
         if member.data_centre == self._membership.own.data_centre:
-            self._start(self._tell_next())
+            self._start(self._forward_notice())
         else:
-            # Nobody here may know it yet.
-            self._start(self._tell_first())
+            # No other instance of this data centre may have this revision yet.
+            self._start(self._start_broadcast())
 
-    async def _answer_fetch(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_fetch(self, sender: str, payload: bytes) -> bytes:
         request = distribution_pb2.CatalogueRequest.FromString(payload)
         is_later = self.revision > request.revision
         answer = distribution_pb2.CatalogueAnswer(
--- a/rhubarblock/fleet/distribution_test.py
+++ b/rhubarblock/fleet/distribution_test.py
@@ -12,7 +12,7 @@
 from rhubarblock.store import store as stores
 
 SETTLE_S = 20.0
-# The goal for a revision to be in force everywhere.
+# Time within which a revision must be in force everywhere.
 GOAL_S = 3.0
 
 
@@ -21,7 +21,7 @@
 
 
 class Followers:
-    """A fleet whose instances follow the catalogue."""
+    """Test harness: a fleet whose instances follow the catalogue."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_revision_is_in_force_everywhere_in_time(loss):
+def test_revision_reaches_all_instances_within_the_goal(loss):
     async def main():
         async with open_followers(loss) as followers:
             await followers.start_many(12, "a")
@@ -89,7 +89,7 @@
     assert virtualloop.run(main()) == ({1}, True)
 
 
-def test_only_the_watchers_watch():
+def test_only_watchers_watch_the_platform():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(10, "a")
@@ -110,7 +110,7 @@
     assert virtualloop.run(main()) == (2, 0, True)
 
 
-def test_missed_and_reordered_events():
+def test_missed_and_reordered_events_do_not_revert_the_revision():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(4, "a")
@@ -126,7 +126,7 @@
     assert virtualloop.run(main()) == ({19}, True)
 
 
-def test_platform_that_answers_with_an_older_state_is_not_believed():
+def test_stale_platform_reads_are_ignored():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(4, "a")
@@ -146,7 +146,7 @@
     assert virtualloop.run(main()) == (3, {3}, True)
 
 
-def test_instance_starts_from_its_peers_while_the_platform_is_down():
+def test_instance_starts_from_peers_during_platform_outage():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(4, "a")
@@ -155,7 +155,8 @@
             followers.fleet.platform.faults.start_outage()
             await followers.fleet.kill(followers.fleet.nodes["a-0"])
             await followers.fleet.timers.sleep(60.0)
-            # The list cannot be read either, so that only seeds help.
+            # The list cannot be read either, so the instance joins through a
+            # seed.
             address = followers.fleet.nodes["a-1"].address
             node = followers.fleet.create("a-9", "a", seeds=[address])
             await node.stack.enter_async_context(node.membership.run())
@@ -168,7 +169,7 @@
     assert virtualloop.run(main()) == 7
 
 
-def test_platform_that_comes_back_is_followed_again():
+def test_platform_is_followed_again_after_an_outage():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(4, "a")
@@ -183,14 +184,14 @@
     assert virtualloop.run(main()) == {2}
 
 
-def test_data_centres_cut_off_and_joined():
+def test_partitioned_data_centre_catches_up_from_peers():
     async def main():
         async with open_followers() as followers:
             near = await followers.start_many(3, "a")
             far = await followers.start_many(3, "b")
             await followers.publish(1)
             await followers.fleet.timers.sleep(GOAL_S)
-            # The far data centre has neither the platform nor the near one.
+            # The far data centre reaches neither the platform nor the near one.
             followers.fleet.network.cut(
                 [node.address for node in near], [node.address for node in far]
             )
@@ -199,7 +200,7 @@
             await followers.publish(2)
             await followers.fleet.timers.sleep(60.0)
             cut = followers.revisions("a"), followers.revisions("b")
-            # Peers are reached again before the platform is.
+            # Peers are reachable again, but the platform is not.
             followers.fleet.network.heal()
             await followers.fleet.timers.sleep(9.0)
             return cut, followers.revisions(), followers.never_reverted()
@@ -207,7 +208,7 @@
     assert virtualloop.run(main()) == (({2}, {1}), {2}, True)
 
 
-def test_watchers_that_die_are_replaced():
+def test_dead_watchers_are_replaced():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(5, "a")
@@ -226,7 +227,7 @@
     assert virtualloop.run(main()) == (2, {1})
 
 
-def test_own_change_is_in_force_at_once_and_told():
+def test_accepted_change_applies_at_once_and_is_broadcast():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(6, "a")
@@ -251,7 +252,7 @@
     assert virtualloop.run(main()) == {"a-0": 1, "a-1": 1, "a-2": None}
 
 
-def test_content_that_is_no_catalogue_is_passed_over():
+def test_malformed_catalogue_is_ignored():
     async def main():
         async with open_followers() as followers:
             await followers.start_many(2, "a")
--- a/rhubarblock/fleet/drainrecord.py
+++ b/rhubarblock/fleet/drainrecord.py
@@ -1,7 +1,7 @@
-"""The operators' drains in the platform, so that they outlast every instance.
+"""Stores operators' drains in the platform, so that they survive a restart.
 
-One small object holds all of them. It is written when an operator orders or
-ends a drain, and read by instances that start.
+One small object holds all drains. It is written when an operator orders or
+ends a drain, and read by starting instances.
 """
 
 import dataclasses
@@ -13,24 +13,26 @@
 
 RECORD_OBJECT = "drains/endpoints"
 
-_TRIES = 4
-_PAUSE_S = 0.1
-# An ended drain is kept this long, so that older news of it does not count.
-_KEEP_ENDED_MS = 3_600_000
-# Endpoints get new ids when they are replaced, so old drains mean nothing.
-_KEEP_MS = 30 * 24 * 3_600_000
+_MAX_ATTEMPTS = 4
+_RETRY_DELAY_S = 0.1
+# An ended drain is kept this long, so that a delayed older order for the
+# endpoint is still recognised as outdated.
+_ENDED_RETENTION_MS = 3_600_000
+# Older drains are removed: a replaced endpoint gets a new id, so that a drain
+# this old has no effect any more.
+_DRAIN_RETENTION_MS = 30 * 24 * 3_600_000
 
 _Kind = stores.StoreErrorKind
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Drain:
-    """An operator's order about one endpoint; the latest one counts.
+    """An operator's drain order for one endpoint; the latest one wins.
 
     Attributes:
       endpoint_id: the endpoint.
-      is_drained: whether it gets no new work from then on.
-      ordered_ms: wall clock of the order in milliseconds.
+      is_drained: whether it gets no new requests from then on.
+      ordered_ms: wall-clock time of the order in milliseconds.
     """
 
     endpoint_id: str
@@ -38,8 +40,8 @@
     ordered_ms: int
 
 
-class DrainRecord:
-    """Reads and writes the record."""
+class DrainRecordClient:
+    """Client of the drain record in the platform."""
 
     __slots__ = ("_store", "_timers")
 
@@ -54,34 +56,35 @@
         self._timers = timers
 
     async def load(self) -> list[Drain]:
-        """Returns the drains that are kept.
+        """Returns the stored drains.
 
         Raises:
-          store.StoreError: the platform did not answer.
+          store.StoreError: the platform did not respond.
         """
         return (await self._read())[1]
 
-    async def keep(self, drain: Drain) -> bool:
-        """Adds a drain to the record unless a later one is there.
+    async def save(self, drain: Drain) -> bool:
+        """Adds a drain to the record unless a newer one is stored.
 
         Args:
           drain: the order.
 
         Returns:
-          Whether it is known to be kept.
+          Whether the drain is known to be stored.
         """
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             if attempt:
-                await self._timers.sleep(_PAUSE_S * attempt)
+                await self._timers.sleep(_RETRY_DELAY_S * attempt)
             try:
-                if await self._try_keep(drain):
+                if await self._try_save(drain):
                     return True
             except stores.StoreError:
-                # What happened shows when it is read again.
+                # The read of the next attempt shows whether the write took
+                # effect.
                 continue
         return False
 
-    async def _try_keep(self, drain: Drain) -> bool:
+    async def _try_save(self, drain: Drain) -> bool:
         version, drains = await self._read()
         known = {item.endpoint_id: item for item in drains}
         last = known.get(drain.endpoint_id)
@@ -89,8 +92,10 @@
             return True
         known[drain.endpoint_id] = drain
         now_ms = drain.ordered_ms
-        kept = [item for item in known.values() if _is_kept(item, now_ms)]
-        await self._store.write(RECORD_OBJECT, _encode(kept), version)
+        retained = [
+            item for item in known.values() if _is_retained(item, now_ms)
+        ]
+        await self._store.write(RECORD_OBJECT, _encode(retained), version)
         return True
 
     async def _read(self) -> tuple[positions.Position, list[Drain]]:
@@ -104,9 +109,11 @@
         return stored.version, drains
 
 
-def _is_kept(drain: Drain, now_ms: int) -> bool:
+def _is_retained(drain: Drain, now_ms: int) -> bool:
     age_ms = now_ms - drain.ordered_ms
-    return age_ms < (_KEEP_MS if drain.is_drained else _KEEP_ENDED_MS)
+    return age_ms < (
+        _DRAIN_RETENTION_MS if drain.is_drained else _ENDED_RETENTION_MS
+    )
 
 
 def _encode(drains: list[Drain]) -> bytes:
--- a/rhubarblock/fleet/endpointnotices.py
+++ b/rhubarblock/fleet/endpointnotices.py
@@ -1,9 +1,10 @@
-"""Tells the other instances which endpoints take no new work.
+"""Announces to all instances which endpoints take no new requests.
 
-The platform's list lags by seconds. An instance that is refused by an
-endpoint, or that gets an operator's order to drain one, tells all others at
-once. Orders to drain are kept in the platform, and passed on to instances
-that start later.
+The platform's list lags by seconds, so an instance whose request an endpoint
+refuses, or that gets an operator's order to drain one, notifies all other
+instances at once. Drain orders are stored in the platform and synced with
+peers, which brings them to instances that start later. The messages are
+defined in ``endpointnews.proto``.
 """
 
 import asyncio
@@ -24,15 +25,15 @@
 NOTICE_KIND = "endpoints.notice"
 DRAINS_KIND = "endpoints.drains"
 
-# Seconds between two comparisons of the drains with a peer drawn at random.
-COMPARE_INTERVAL_S = 10.0
+# Seconds between two syncs of the drains with a random peer.
+SYNC_INTERVAL_S = 10.0
 _CALL_TIMEOUT_S = 0.5
-_TRIES = 2
+_MAX_ATTEMPTS = 2
 _MS_PER_S = 1000
 
 
 class EndpointNotices:
-    """Keeps the drains, and tells and hears of endpoints."""
+    """Keeps the drains and exchanges endpoint notices with peers."""
 
     __slots__ = (
         "_table",
@@ -54,80 +55,82 @@
         rng: random.Random,
         store: stores.ObjectStore | None = None,
     ):
-        """Creates it without any drain.
+        """Creates the service without any drain.
 
         Args:
           table: the endpoints of this instance.
-          membership: whom to tell.
-          transport: calls to peers.
+          membership: the instances to notify.
+          transport: carries calls to peers.
           timers: the timer service.
-          rng: draws the peers to compare with.
-          store: the platform's object API, to keep drains in; None keeps them
-            only as long as one of the instances lives.
+          rng: chooses the peers to sync with.
+          store: the platform's object API, which stores the drains; with None
+            they are lost when the last instance stops.
         """
         self._table = table
         self._membership = membership
         self._transport = transport
         self._timers = timers
         self._rng = rng
-        self._record = drainrecord.DrainRecord(store, timers) if store else None
+        self._record = (
+            drainrecord.DrainRecordClient(store, timers) if store else None
+        )
         self._drains: dict[str, drainrecord.Drain] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        table.subscribe_refusals(self._tell_leaving)
-        transport.register(NOTICE_KIND, self._answer_notice)
-        transport.register(DRAINS_KIND, self._answer_drains)
+        table.subscribe_refusals(self._announce_leaving)
+        transport.register(NOTICE_KIND, self._handle_notice)
+        transport.register(DRAINS_KIND, self._handle_drains)
 
     def list_drained(self) -> list[str]:
-        """Returns the endpoints that operators drain."""
+        """Returns the ids of endpoints drained by operators, sorted."""
         return sorted(
             name for name, drain in self._drains.items() if drain.is_drained
         )
 
     async def order_drain(self, endpoint_id: str, is_drained: bool) -> bool:
-        """Carries out an operator's order here and tells the others.
+        """Applies an operator's drain order and announces it to all instances.
 
         Args:
           endpoint_id: the endpoint.
-          is_drained: whether it gets no new work from now on.
+          is_drained: whether it gets no new requests from now on.
 
         Returns:
-          Whether the order is known to be kept in the platform.
+          Whether the order is known to be stored in the platform.
         """
         drain = drainrecord.Drain(
             endpoint_id,
             is_drained,
             int(self._timers.read_wall() * _MS_PER_S),
         )
-        self._take_drain(drain)
+        self._apply_drain(drain)
         notice = endpointnews_pb2.EndpointNotice(drains=[_encode(drain)])
-        await self._tell(notice)
-        return self._record is not None and await self._record.keep(drain)
+        await self._broadcast(notice)
+        return self._record is not None and await self._record.save(drain)
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator["EndpointNotices"]:
-        """Follows the drains while the context is open.
+        """Keeps the drains in sync while the context is open.
 
         Yields:
-          This object, after it asked a peer and the platform for the drains.
+          This object, after it read the drains from the platform and a peer.
         """
-        await self._load()
-        await self._compare()
+        await self._load_record()
+        await self._sync_drains()
         try:
-            with self._timers.subscribe(COMPARE_INTERVAL_S, self._compare):
+            with self._timers.subscribe(SYNC_INTERVAL_S, self._sync_drains):
                 yield self
         finally:
             for task in list(self._tasks):
                 task.cancel()
 
-    async def _load(self) -> None:
+    async def _load_record(self) -> None:
         if self._record is None:
             return
-        # While the platform is down, a peer knows them.
+        # During a platform outage the sync with a peer provides them.
         with contextlib.suppress(stores.StoreError):
             for drain in await self._record.load():
-                self._take_drain(drain)
+                self._apply_drain(drain)
 
-    def _take_drain(self, drain: drainrecord.Drain) -> None:
+    def _apply_drain(self, drain: drainrecord.Drain) -> None:
         known = self._drains.get(drain.endpoint_id)
         if known is not None and known.ordered_ms >= drain.ordered_ms:
             return
@@ -137,13 +140,13 @@
         else:
             self._table.end_draining(drain.endpoint_id)
 
-    def _tell_leaving(self, endpoint_id: str) -> None:
+    def _announce_leaving(self, endpoint_id: str) -> None:
         notice = endpointnews_pb2.EndpointNotice(leaving=[endpoint_id])
-        task = asyncio.ensure_future(self._tell(notice))
+        task = asyncio.ensure_future(self._broadcast(notice))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _tell(self, notice: endpointnews_pb2.EndpointNotice) -> None:
+    async def _broadcast(self, notice: endpointnews_pb2.EndpointNotice) -> None:
         payload = notice.SerializeToString()
         own_id = self._membership.own.instance_id
         await asyncio.gather(
@@ -155,7 +158,7 @@
         )
 
     async def _send(self, address: str, payload: bytes) -> None:
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 await self._transport.call(
                     address, NOTICE_KIND, payload, _CALL_TIMEOUT_S
@@ -164,16 +167,16 @@
                 continue
             return
 
-    async def _answer_notice(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_notice(self, sender: str, payload: bytes) -> bytes:
         notice = endpointnews_pb2.EndpointNotice.FromString(payload)
         for drain in notice.drains:
-            self._take_drain(_decode(drain))
+            self._apply_drain(_decode(drain))
         for endpoint_id in notice.leaving:
             self._table.mark_leaving(endpoint_id)
         return b""
 
-    async def _compare(self) -> None:
-        """Fetches the drains that a peer knows of."""
+    async def _sync_drains(self) -> None:
+        """Fetches the drains known to a random peer."""
         own_id = self._membership.own.instance_id
         peers = [
             member
@@ -191,9 +194,9 @@
         except (peertransport.PeerError, protobuf_message.DecodeError):
             return
         for drain in answer.drains:
-            self._take_drain(_decode(drain))
+            self._apply_drain(_decode(drain))
 
-    async def _answer_drains(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_drains(self, sender: str, payload: bytes) -> bytes:
         drains = map(_encode, self._drains.values())
         answer = endpointnews_pb2.EndpointNotice(drains=drains)
         return answer.SerializeToString()
--- a/rhubarblock/fleet/endpointnotices_test.py
+++ b/rhubarblock/fleet/endpointnotices_test.py
@@ -15,19 +15,19 @@
 ]
 
 
-class Bench:
-    """Instances that each have a table of endpoints."""
+class Harness:
+    """Instances that each have an endpoint table."""
 
     def __init__(self, fleet):
         self.fleet = fleet
         self.tables = []
-        self.news = []
+        self.notices = []
 
     async def start(self, instance_id):
         node = await self.fleet.start(instance_id, "a")
         table = endpointtables.EndpointTable(node.timers)
         table.update_from_list(LISTED)
-        news = endpointnotices.EndpointNotices(
+        notices = endpointnotices.EndpointNotices(
             table,
             node.membership,
             node.peers,
@@ -35,9 +35,9 @@
             node.rng,
             node.store,
         )
-        await node.stack.enter_async_context(news.run())
+        await node.stack.enter_async_context(notices.run())
         self.tables.append(table)
-        self.news.append(news)
+        self.notices.append(notices)
 
     def usable(self):
         return [
@@ -46,89 +46,89 @@
         ]
 
 
-def run(scene, count=3):
+def run(scenario, count=3):
     async def main():
         async with memoryfleet.open_fleet() as fleet:
-            bench = Bench(fleet)
+            harness = Harness(fleet)
             for number in range(count):
-                await bench.start(f"i{number}")
+                await harness.start(f"i{number}")
             await fleet.timers.sleep(20.0)
-            return await scene(bench)
+            return await scenario(harness)
 
     return virtualloop.run(main())
 
 
-def test_endpoint_that_refuses_one_instance_gets_no_work_from_any():
-    async def scene(bench):
-        bench.tables[0].record_failure("d1", REFUSED)
-        await bench.fleet.timers.sleep(0.1)
-        return bench.usable()
+def test_refusal_to_one_instance_stops_requests_from_all():
+    async def scenario(harness):
+        harness.tables[0].record_failure("d1", REFUSED)
+        await harness.fleet.timers.sleep(0.1)
+        return harness.usable()
 
-    assert run(scene) == [["d2"]] * 3
+    assert run(scenario) == [["d2"]] * 3
 
 
-def test_drain_reaches_every_instance_and_those_that_start_later():
-    async def scene(bench):
-        await bench.news[0].order_drain("d1", True)
-        await bench.start("i9")
-        await bench.fleet.timers.sleep(20.0)
-        drained = bench.usable()
-        await bench.news[1].order_drain("d1", False)
-        return drained, bench.usable(), bench.news[2].list_drained()
+def test_drain_reaches_running_and_later_instances():
+    async def scenario(harness):
+        await harness.notices[0].order_drain("d1", True)
+        await harness.start("i9")
+        await harness.fleet.timers.sleep(20.0)
+        drained = harness.usable()
+        await harness.notices[1].order_drain("d1", False)
+        return drained, harness.usable(), harness.notices[2].list_drained()
 
-    assert run(scene) == ([["d2"]] * 4, [["d1", "d2"]] * 4, [])
+    assert run(scenario) == ([["d2"]] * 4, [["d1", "d2"]] * 4, [])
 
 
-def test_drain_of_an_endpoint_that_is_not_listed_yet():
-    async def scene(bench):
-        await bench.news[0].order_drain("d3", True)
+def test_drain_applies_to_an_endpoint_listed_later():
+    async def scenario(harness):
+        await harness.notices[0].order_drain("d3", True)
         later = instances.ListedInstance(
             "d3", "10.9.0.3:80", "a", "desk", instances.InstanceKind.SERVICE
         )
-        for table in bench.tables:
+        for table in harness.tables:
             table.update_from_list([*LISTED, later])
-        return bench.usable()
+        return harness.usable()
 
-    assert run(scene) == [["d1", "d2"]] * 3
+    assert run(scenario) == [["d1", "d2"]] * 3
 
 
-def test_drain_outlasts_all_instances():
-    async def scene(bench):
-        kept = [await bench.news[0].order_drain("d1", True)]
-        for node in list(bench.fleet.nodes.values()):
-            await bench.fleet.kill(node)
-        bench.tables.clear()
-        await bench.start("i7")
-        return kept, bench.usable()
+def test_drain_survives_loss_of_all_instances():
+    async def scenario(harness):
+        is_stored = [await harness.notices[0].order_drain("d1", True)]
+        for node in list(harness.fleet.nodes.values()):
+            await harness.fleet.kill(node)
+        harness.tables.clear()
+        await harness.start("i7")
+        return is_stored, harness.usable()
 
-    assert run(scene) == ([True], [["d2"]])
+    assert run(scenario) == ([True], [["d2"]])
 
 
-def test_drain_while_the_platform_is_down_says_that_it_is_not_kept():
-    async def scene(bench):
-        bench.fleet.platform.faults.start_outage()
-        kept = await bench.news[0].order_drain("d1", True)
-        return kept, bench.usable()
+def test_drain_during_platform_outage_is_reported_as_not_stored():
+    async def scenario(harness):
+        harness.fleet.platform.faults.start_outage()
+        is_stored = await harness.notices[0].order_drain("d1", True)
+        return is_stored, harness.usable()
 
-    assert run(scene) == (False, [["d2"]] * 3)
+    assert run(scenario) == (False, [["d2"]] * 3)
 
 
-def test_drain_whose_write_was_unanswered_is_kept_once():
-    async def scene(bench):
-        bench.fleet.platform.faults.lose_answers_next = 1
-        kept = await bench.news[0].order_drain("d1", True)
-        stored = await bench.fleet.platform.read(drainrecord.RECORD_OBJECT)
-        return kept, stored.value.count(b"d1")
+def test_drain_with_unanswered_write_is_stored_once():
+    async def scenario(harness):
+        harness.fleet.platform.faults.lose_answers_next = 1
+        is_stored = await harness.notices[0].order_drain("d1", True)
+        stored = await harness.fleet.platform.read(drainrecord.RECORD_OBJECT)
+        return is_stored, stored.value.count(b"d1")
 
-    assert run(scene) == (True, 1)
+    assert run(scenario) == (True, 1)
 
 
-def test_order_that_was_lost_is_made_good():
-    async def scene(bench):
-        bench.fleet.network.loss = 0.9
-        await bench.news[0].order_drain("d1", True)
-        bench.fleet.network.loss = 0.0
-        await bench.fleet.timers.sleep(60.0)
-        return bench.usable()
+def test_lost_drain_notice_is_recovered_by_sync():
+    async def scenario(harness):
+        harness.fleet.network.loss = 0.9
+        await harness.notices[0].order_drain("d1", True)
+        harness.fleet.network.loss = 0.0
+        await harness.fleet.timers.sleep(60.0)
+        return harness.usable()
 
-    assert run(scene) == [["d2"]] * 3
+    assert run(scenario) == [["d2"]] * 3
--- a/rhubarblock/fleet/endpoints.py
+++ b/rhubarblock/fleet/endpoints.py
@@ -1,9 +1,9 @@
-"""The endpoints that an entry instance may send work to.
+"""Table of the endpoints that an entry instance may send requests to.
 
-What is known comes from the platform's list, which lags, from the engines'
-load reports, from the answers to requests, from peers and from orders. What
-an endpoint shows itself goes before the list: one that refuses new work gets
-none, although the list still has it.
+The sources are the platform's list, which lags, the engines' load reports, the
+outcome of requests, notices from peers and operators' orders. What an endpoint
+reports itself takes precedence over the list: one that refuses new requests
+gets none, even while it is still listed.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.core import failure as failures
-from rhubarblock.fleet import endpointlife
+from rhubarblock.fleet import endpointstate
 from rhubarblock.fleet import holddown
 from rhubarblock.kernel import timers as timers_lib
 from rhubarblock.store import instances
@@ -20,9 +20,9 @@
 _State = endpoints.EndpointState
 _Code = failures.FailureCode
 
-# Failures that speak against the endpoint and not against the request or the
-# load: an overloaded endpoint that refuses is not a broken one.
-_COUNTED_CODES = frozenset(
+# Failures that count against the endpoint. Those caused by the request or by
+# overload do not: an endpoint that sheds load is not broken.
+_ENDPOINT_FAULT_CODES = frozenset(
     {_Code.ENDPOINT_FAILED, _Code.STREAM_CUT, _Code.NO_ENDPOINT}
 )
 _KINDS = {
@@ -39,18 +39,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EndpointSettings:
-    """Numbers of the endpoint table.
+    """Settings of the endpoint table.
 
     Attributes:
-      hold_down: times for which a failed endpoint is held back.
-      panic_share: share of the endpoints of a service that are held back at
-        once, above which the failures are not laid to each endpoint alone.
-      recent_s: age in seconds up to which a success or a load report shows
-        that an endpoint is worth trying all the same.
-      report_lag_s: time after an answer that refused new work, in which load
-        reports may still be older than it.
-      list_lag_s: time after a sign that an endpoint leaves, after which a list
-        that still shows it as staying is believed again.
+      hold_down: hold-down times of failed endpoints.
+      panic_share: share of a service's endpoints in hold-down above which the
+        failures are taken for a common cause, and endpoints that were seen
+        since their failure are used despite their hold-down.
+      recent_s: age in seconds up to which a success or load report counts as
+        recent. Endpoints seen recently are tried if all are in hold-down, and
+        are kept if the list drops most of a service.
+      report_lag_s: seconds after a refusal during which load reports may still
+        be older than the refusal.
+      list_lag_s: seconds after a sign that an endpoint is leaving, during which
+        a list that shows it as staying is ignored.
     """
 
     hold_down: holddown.HoldDownSettings = dataclasses.field(
@@ -64,15 +66,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EndpointView:
-    """An endpoint that may get work.
+    """Snapshot of one endpoint.
 
     Attributes:
       endpoint: its identity.
       state: its state.
-      report: its latest load report, None for a plain service.
+      report: its latest load report; None for a plain service.
       reported_s: when that report arrived, in seconds of the monotonic clock.
-      probation: whether it failed before and has not served again since; it
-        should get little until it has.
+      probation: whether it failed and has not served a request since; until it
+        does it should get few requests.
     """
 
     endpoint: endpoints.Endpoint
@@ -83,15 +85,15 @@
 
 
 class _Entry:
-    """What is known of one endpoint."""
+    """Mutable state of one endpoint."""
 
     __slots__ = (
         "endpoint",
-        "lifecycle",
+        "state_machine",
         "hold_down",
         "report",
         "reported_s",
-        "seen_s",
+        "last_seen_s",
         "refused_s",
     )
 
@@ -99,25 +101,27 @@
         self, endpoint: endpoints.Endpoint, settings: EndpointSettings
     ):
         self.endpoint = endpoint
-        self.lifecycle = endpointlife.EndpointLife(endpoint.endpoint_id)
+        self.state_machine = endpointstate.EndpointStateMachine(
+            endpoint.endpoint_id
+        )
         self.hold_down = holddown.HoldDown(settings.hold_down)
         self.report: endpoints.LoadReport | None = None
         self.reported_s = float("-inf")
-        self.seen_s = float("-inf")
+        self.last_seen_s = float("-inf")
         self.refused_s = float("-inf")
 
     @property
     def is_open(self) -> bool:
-        """Whether it takes new work at all."""
-        return self.lifecycle.state not in _CLOSED_STATES
+        """Whether it takes new requests at all."""
+        return self.state_machine.state not in _CLOSED_STATES
 
     @property
-    def was_seen_since(self) -> bool:
-        """Whether it showed a sign of life after its latest failure."""
-        return self.seen_s > self.hold_down.failed_s
+    def was_seen_after_failure(self) -> bool:
+        """Whether a success or load report followed its latest failure."""
+        return self.last_seen_s > self.hold_down.failed_s
 
     def serves(self, model: str) -> bool:
-        """Says whether a model is loaded; the empty name asks for none."""
+        """Returns whether a model is loaded; an empty name always matches."""
         if not model:
             return True
         if self.report is None:
@@ -128,7 +132,7 @@
 
 
 class EndpointTable:
-    """Every endpoint that is known, by its id."""
+    """All known endpoints, by id."""
 
     def __init__(
         self,
@@ -139,7 +143,7 @@
 
         Args:
           timers: the timer service.
-          settings: numbers.
+          settings: settings of the table.
         """
         self._timers = timers
         self._settings = settings or EndpointSettings()
@@ -151,63 +155,63 @@
         self._usable_until_s = float("-inf")
 
     def subscribe(self, callback: StateCallback) -> None:
-        """Calls back with each change of state, as long as the table lives."""
+        """Calls back on each change of state; there is no unsubscribe."""
         self._callbacks.append(callback)
 
     def subscribe_refusals(self, callback: Callable[[str], None]) -> None:
-        """Calls back with each endpoint that refuses new work to us first."""
+        """Calls back when an endpoint first refuses a request of ours."""
         self._refusal_callbacks.append(callback)
 
     def update_from_list(
         self, listed: Iterable[instances.ListedInstance]
     ) -> None:
-        """Takes in the platform's list.
+        """Updates the table from the platform's list.
 
         Args:
-          listed: the whole list; entry instances in it are passed over.
+          listed: the whole list; entry instances in it are ignored.
         """
         present: set[str] = set()
         for entry in listed:
             if entry.kind in _KINDS:
                 present.add(entry.instance_id)
-                self._take_listed(entry)
+                self._apply_listed(entry)
         for service in {e.endpoint.service for e in self._entries.values()}:
-            self._drop_missing(service, present)
+            self._remove_missing(service, present)
         self._usable.clear()
 
     def record_success(self, endpoint_id: str) -> None:
-        """Notes that an endpoint answered a request."""
+        """Records that an endpoint answered a request."""
         entry = self._entries.get(endpoint_id)
         if entry is None:
             return
-        entry.seen_s = self._timers.read_monotonic()
-        state = entry.lifecycle.state
+        entry.last_seen_s = self._timers.read_monotonic()
+        state = entry.state_machine.state
         if state is _State.READY:
             return
         if state is _State.KNOWN and entry.report is None:
-            self._step(entry, entry.lifecycle.become_ready)
+            self._transition(entry, entry.state_machine.become_ready)
         elif state is _State.SUSPECT and not self._is_held(entry):
-            self._step(entry, entry.lifecycle.recover)
+            self._transition(entry, entry.state_machine.recover)
 
     def record_failure(
         self, endpoint_id: str, failure: failures.Failure
     ) -> None:
-        """Notes that a request to an endpoint, or a look at it, failed."""
+        """Records that a request to an endpoint, or a check of it, failed."""
         entry = self._entries.get(endpoint_id)
         if entry is None:
             return
         if failure.code is _Code.DRAINING:
-            is_news = entry.is_open
-            self._refuse(entry)
-            for callback in self._refusal_callbacks if is_news else ():
+            is_new = entry.is_open
+            self._record_refusal(entry)
+            for callback in self._refusal_callbacks if is_new else ():
                 callback(endpoint_id)
-        elif failure.code in _COUNTED_CODES:
+        elif failure.code in _ENDPOINT_FAULT_CODES:
             entry.hold_down.record_failure(self._timers.read_monotonic())
-            self._step(entry, entry.lifecycle.suspect)
+            self._transition(entry, entry.state_machine.suspect)
             self._usable.clear()
 
     def record_load(self, report: endpoints.LoadReport) -> None:
-        """Takes in the load report of an engine."""
+        """Records the load report of an engine unless it is outdated."""
         entry = self._entries.get(report.endpoint_id)
         if entry is None:
             return
@@ -217,62 +221,62 @@
                 return
         elif before is not None:
             entry.refused_s = float("-inf")
-            self._step(entry, entry.lifecycle.restart)
+            self._transition(entry, entry.state_machine.restart)
         entry.report = report
-        entry.seen_s = entry.reported_s = self._timers.read_monotonic()
-        self._follow_report(entry, report)
+        entry.last_seen_s = entry.reported_s = self._timers.read_monotonic()
+        self._apply_report(entry, report)
         if before is None or before.models != report.models:
             self._usable.clear()
-        if entry.lifecycle.state is _State.SUSPECT:
+        if entry.state_machine.state is _State.SUSPECT:
             self._usable.clear()
 
     def mark_draining(self, endpoint_id: str) -> None:
-        """Notes an operator's order that an endpoint gets no new work."""
+        """Applies an operator's order to drain an endpoint."""
         self._drained.add(endpoint_id)
         entry = self._entries.get(endpoint_id)
         if entry is not None:
-            self._step(entry, entry.lifecycle.drain)
+            self._transition(entry, entry.state_machine.drain)
 
     def end_draining(self, endpoint_id: str) -> None:
-        """Notes that the order to drain was taken back."""
+        """Applies an operator's order to end a drain."""
         self._drained.discard(endpoint_id)
         entry = self._entries.get(endpoint_id)
         if entry is not None:
-            self._step(entry, entry.lifecycle.end_drain)
+            self._transition(entry, entry.state_machine.end_drain)
 
     def is_drained(self, endpoint_id: str) -> bool:
-        """Says whether an operator's order to drain is in force."""
+        """Returns whether an operator's drain order is in effect."""
         return endpoint_id in self._drained
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Notes that an endpoint is about to stop, as a peer has seen."""
+        """Records a peer's notice that an endpoint is about to stop."""
         entry = self._entries.get(endpoint_id)
         if entry is not None:
-            self._refuse(entry)
+            self._record_refusal(entry)
 
     def read_state(self, endpoint_id: str) -> endpoints.EndpointState:
-        """Returns the state of an endpoint; GONE for one that is unknown."""
+        """Returns the state of an endpoint; GONE if it is unknown."""
         entry = self._entries.get(endpoint_id)
-        return entry.lifecycle.state if entry else _State.GONE
+        return entry.state_machine.state if entry else _State.GONE
 
     def find_report(self, endpoint_id: str) -> endpoints.LoadReport | None:
-        """Returns the latest load report of an engine, if there is one."""
+        """Returns the latest load report of an engine, or None."""
         entry = self._entries.get(endpoint_id)
         return entry.report if entry else None
 
     def list_views(self) -> list[EndpointView]:
-        """Returns every endpoint known, whether or not it may get work."""
-        return [self._view(entry) for entry in self._entries.values()]
+        """Returns every known endpoint, usable or not."""
+        return [self._make_view(entry) for entry in self._entries.values()]
 
     def usable(self, service: str, model: str = "") -> list[EndpointView]:
-        """Returns the endpoints that may get new work.
+        """Returns the endpoints that may get new requests.
 
         Args:
-          service: service of the catalogue.
+          service: name of a service in the catalogue.
           model: model that must be loaded; empty for a plain service.
 
         Returns:
-          The endpoints; those on probation carry a mark.
+          The endpoints, including those on probation.
         """
         now_s = self._timers.read_monotonic()
         if now_s >= self._usable_until_s:
@@ -281,13 +285,13 @@
         views = self._usable.get(key)
         if views is None:
             if not self._usable:
-                self._usable_until_s = self._find_next_end(now_s)
+                self._usable_until_s = self._find_next_expiry(now_s)
             views = self._usable[key] = self._find_usable(service, model)
         return list(views)
 
-    # The list.
+    # Platform list.
 
-    def _take_listed(self, listed: instances.ListedInstance) -> None:
+    def _apply_listed(self, listed: instances.ListedInstance) -> None:
         endpoint = endpoints.Endpoint(
             listed.instance_id,
             listed.address,
@@ -301,87 +305,92 @@
             self._entries[listed.instance_id] = entry
         entry.endpoint = endpoint
         if endpoint.endpoint_id in self._drained:
-            self._step(entry, entry.lifecycle.drain)
+            self._transition(entry, entry.state_machine.drain)
         now_s = self._timers.read_monotonic()
         if listed.leaving:
             entry.refused_s = now_s
-            self._step(entry, entry.lifecycle.leave)
+            self._transition(entry, entry.state_machine.leave)
             return
         is_old = now_s - entry.refused_s > self._settings.list_lag_s
-        if is_old and entry.lifecycle.state is _State.LEAVING:
-            self._step(entry, entry.lifecycle.restart)
+        if is_old and entry.state_machine.state is _State.LEAVING:
+            self._transition(entry, entry.state_machine.restart)
 
-    def _refuse(self, entry: _Entry) -> None:
-        """Notes that an endpoint itself refuses new work.
+    def _record_refusal(self, entry: _Entry) -> None:
+        """Records that an endpoint itself refuses new requests.
 
-        An engine says in its load reports when that is over; a plain service
-        has none, and counts as leaving.
+        An engine's load reports show when it accepts requests again. A plain
+        service has no load reports and counts as leaving.
         """
         entry.refused_s = self._timers.read_monotonic()
         if entry.endpoint.kind is endpoints.EndpointKind.ENGINE:
-            self._step(entry, entry.lifecycle.drain)
+            self._transition(entry, entry.state_machine.drain)
         else:
-            self._step(entry, entry.lifecycle.leave)
+            self._transition(entry, entry.state_machine.leave)
 
-    def _drop_missing(self, service: str, present: set[str]) -> None:
+    def _remove_missing(self, service: str, present: set[str]) -> None:
         entries = self._list_entries(service)
         missing = [
             entry
             for entry in entries
             if entry.endpoint.endpoint_id not in present
         ]
-        # A list that lost most of a service at once is more likely wrong than
-        # right about those that show signs of life.
-        doubtful = len(missing) > self._settings.panic_share * len(entries)
+        # A list that drops most of a service at once is probably wrong about
+        # endpoints that were seen recently.
+        is_doubtful = len(missing) > self._settings.panic_share * len(entries)
         for entry in missing:
-            if not (doubtful and entry.is_open and self._is_recent(entry)):
-                self._step(entry, entry.lifecycle.vanish)
+            if not (
+                is_doubtful and entry.is_open and self._was_seen_recently(entry)
+            ):
+                self._transition(entry, entry.state_machine.vanish)
                 del self._entries[entry.endpoint.endpoint_id]
 
     # Load reports.
 
-    def _follow_report(
+    def _apply_report(
         self, entry: _Entry, report: endpoints.LoadReport
     ) -> None:
         age_s = self._timers.read_monotonic() - entry.refused_s
         in_doubt = age_s < self._settings.report_lag_s
         is_drained = report.endpoint_id in self._drained
         if report.draining or is_drained:
-            self._step(entry, entry.lifecycle.drain)
+            self._transition(entry, entry.state_machine.drain)
         elif not in_doubt:
-            self._step(entry, entry.lifecycle.end_drain)
+            self._transition(entry, entry.state_machine.end_drain)
         if report.models:
-            self._step(entry, entry.lifecycle.become_ready)
+            self._transition(entry, entry.state_machine.become_ready)
         else:
-            self._step(entry, entry.lifecycle.start_loading)
+            self._transition(entry, entry.state_machine.start_loading)
 
-    # What may get work.
+    # Usable endpoints.
 
     def _find_usable(self, service: str, model: str) -> list[EndpointView]:
-        able = [
+        eligible = [
             entry
             for entry in self._list_entries(service)
             if entry.is_open and self._can_serve(entry, model)
         ]
-        free = [entry for entry in able if not self._is_held(entry)]
-        held = len(able) - len(free)
-        if held > self._settings.panic_share * len(able):
-            # So many do not fail each for itself. Those that showed a sign of
-            # life since are tried, as the rest could not carry the load.
-            free = [
+        candidates = [entry for entry in eligible if not self._is_held(entry)]
+        held = len(eligible) - len(candidates)
+        if held > self._settings.panic_share * len(eligible):
+            # So many failures have a common cause. Endpoints seen after their
+            # failure are used, since the others could not carry the load.
+            candidates = [
                 entry
-                for entry in able
-                if not self._is_held(entry) or entry.was_seen_since
+                for entry in eligible
+                if not self._is_held(entry) or entry.was_seen_after_failure
+            ]
+        if not candidates:
+            candidates = [
+                entry for entry in eligible if self._was_seen_recently(entry)
             ]
-        if not free:
-            free = [entry for entry in able if self._is_recent(entry)]
-        return [self._view(entry) for entry in free or able]
+        return [self._make_view(entry) for entry in candidates or eligible]
 
     def _can_serve(self, entry: _Entry, model: str) -> bool:
         if entry.endpoint.kind is endpoints.EndpointKind.SERVICE:
             return True
         return (
-            entry.serves(model) and entry.lifecycle.state is not _State.LOADING
+            entry.serves(model)
+            and entry.state_machine.state is not _State.LOADING
         )
 
     def _list_entries(self, service: str) -> list[_Entry]:
@@ -394,31 +403,35 @@
     def _is_held(self, entry: _Entry) -> bool:
         return entry.hold_down.is_held(self._timers.read_monotonic())
 
-    def _is_recent(self, entry: _Entry) -> bool:
+    def _was_seen_recently(self, entry: _Entry) -> bool:
         now_s = self._timers.read_monotonic()
-        return now_s - entry.seen_s <= self._settings.recent_s
+        return now_s - entry.last_seen_s <= self._settings.recent_s
 
-    def _find_next_end(self, now_s: float) -> float:
-        """Returns when the next hold-down or recent sign of life ends."""
+    def _find_next_expiry(self, now_s: float) -> float:
+        """Returns when the next hold-down ends or a last sighting gets old."""
         ends_s = [now_s + self._settings.recent_s]
         for entry in self._entries.values():
             ends_s.append(entry.hold_down.until_s)
-            ends_s.append(entry.seen_s + self._settings.recent_s)
+            ends_s.append(entry.last_seen_s + self._settings.recent_s)
         return min(end_s for end_s in ends_s if end_s > now_s)
 
-    def _view(self, entry: _Entry) -> EndpointView:
+    def _make_view(self, entry: _Entry) -> EndpointView:
         return EndpointView(
             entry.endpoint,
-            entry.lifecycle.state,
+            entry.state_machine.state,
             entry.report,
             entry.reported_s,
-            entry.lifecycle.state is _State.SUSPECT,
+            entry.state_machine.state is _State.SUSPECT,
         )
 
-    def _step(self, entry: _Entry, step: Callable[[], bool]) -> None:
-        before = entry.lifecycle.state
-        if not step():
+    def _transition(
+        self, entry: _Entry, transition: Callable[[], bool]
+    ) -> None:
+        before = entry.state_machine.state
+        if not transition():
             return
         self._usable.clear()
         for callback in self._callbacks:
-            callback(entry.endpoint.endpoint_id, before, entry.lifecycle.state)
+            callback(
+                entry.endpoint.endpoint_id, before, entry.state_machine.state
+            )
--- a/rhubarblock/fleet/endpoints_test.py
+++ b/rhubarblock/fleet/endpoints_test.py
@@ -55,8 +55,8 @@
     )
 
 
-class Bench:
-    """A table with some engines that serve model ``m``."""
+class Harness:
+    """An endpoint table with some engines that serve model ``m``."""
 
     def __init__(self, *names):
         self.timers = timers_lib.LoopTimers(wall_offset_s=0.0)
@@ -76,257 +76,258 @@
         ]
 
 
-def run(scene):
-    """Runs a scene under the fake clock and returns its result."""
-    return virtualloop.run(scene())
+def run(scenario):
+    """Runs a scenario on the virtual clock and returns its result."""
+    return virtualloop.run(scenario())
 
 
-def test_engine_is_usable_once_it_shows_its_model():
-    async def scene():
-        bench = Bench()
-        bench.table.update_from_list(list_engines("e1"))
-        steps = [bench.usable()]
-        bench.table.record_load(report("e1", 1, models=()))
-        steps.append(bench.usable())
-        bench.table.record_load(report("e1", 2))
-        steps.append(bench.usable())
-        steps.append(bench.usable(model="other"))
-        return steps, bench.states
+def test_engine_is_usable_once_it_reports_its_model():
+    async def scenario():
+        harness = Harness()
+        harness.table.update_from_list(list_engines("e1"))
+        steps = [harness.usable()]
+        harness.table.record_load(report("e1", 1, models=()))
+        steps.append(harness.usable())
+        harness.table.record_load(report("e1", 2))
+        steps.append(harness.usable())
+        steps.append(harness.usable(model="other"))
+        return steps, harness.states
 
-    assert run(scene) == ([[], [], ["e1"], []], ["loading", "ready"])
+    assert run(scenario) == ([[], [], ["e1"], []], ["loading", "ready"])
 
 
 def test_plain_service_is_usable_at_once():
-    async def scene():
-        bench = Bench()
-        bench.table.update_from_list([list_service("d1")])
-        first = bench.usable("desk", "")
-        bench.table.record_success("d1")
-        return first, bench.usable("desk", ""), bench.states
+    async def scenario():
+        harness = Harness()
+        harness.table.update_from_list([list_service("d1")])
+        first = harness.usable("desk", "")
+        harness.table.record_success("d1")
+        return first, harness.usable("desk", ""), harness.states
 
-    assert run(scene) == (["d1"], ["d1"], ["ready"])
+    assert run(scenario) == (["d1"], ["d1"], ["ready"])
 
 
-def test_older_load_report_is_passed_over():
-    async def scene():
-        bench = Bench("e1")
-        bench.table.record_load(report("e1", 5, models=("n@1",)))
-        bench.table.record_load(report("e1", 4, models=("m@1",)))
-        return bench.usable(model="m"), bench.usable(model="n")
+def test_older_load_report_is_ignored():
+    async def scenario():
+        harness = Harness("e1")
+        harness.table.record_load(report("e1", 5, models=("n@1",)))
+        harness.table.record_load(report("e1", 4, models=("m@1",)))
+        return harness.usable(model="m"), harness.usable(model="n")
 
-    assert run(scene) == ([], ["e1"])
+    assert run(scenario) == ([], ["e1"])
 
 
-def test_restarted_engine_loads_anew():
-    async def scene():
-        bench = Bench("e1")
-        bench.table.record_load(report("e1", 1, start_id="t", models=()))
-        loading = bench.usable()
-        bench.table.record_load(report("e1", 2, start_id="t"))
-        return loading, bench.usable(), bench.states
+def test_restarted_engine_is_unusable_until_its_model_is_loaded():
+    async def scenario():
+        harness = Harness("e1")
+        harness.table.record_load(report("e1", 1, start_id="t", models=()))
+        loading = harness.usable()
+        harness.table.record_load(report("e1", 2, start_id="t"))
+        return loading, harness.usable(), harness.states
 
-    assert run(scene) == (
+    assert run(scenario) == (
         [],
         ["e1"],
         ["ready", "known", "loading", "ready"],
     )
 
 
-def test_leaving_engine_gets_no_new_work_although_the_list_lags():
-    async def scene():
-        bench = Bench("e1", "e2")
-        bench.table.record_load(report("e1", 2, draining=True))
-        after_report = bench.usable()
-        bench.table.record_failure("e2", REFUSED)
-        after_answer = bench.usable()
-        # The list still has both, and a report on its way is an older one.
-        bench.table.update_from_list(list_engines("e1", "e2"))
-        bench.table.record_load(report("e2", 2))
-        return after_report, after_answer, bench.usable()
+def test_leaving_engine_is_unusable_despite_lagging_list():
+    async def scenario():
+        harness = Harness("e1", "e2")
+        harness.table.record_load(report("e1", 2, draining=True))
+        after_report = harness.usable()
+        harness.table.record_failure("e2", REFUSED)
+        after_answer = harness.usable()
+        # The list still has both, and a delayed report is older than the
+        # refusal.
+        harness.table.update_from_list(list_engines("e1", "e2"))
+        harness.table.record_load(report("e2", 2))
+        return after_report, after_answer, harness.usable()
 
-    assert run(scene) == (["e2"], [], [])
+    assert run(scenario) == (["e2"], [], [])
 
 
-def test_leaving_service_gets_no_new_work_although_the_list_lags():
-    async def scene():
-        bench = Bench()
+def test_leaving_service_is_unusable_despite_lagging_list():
+    async def scenario():
+        harness = Harness()
         listed = [list_service("d1"), list_service("d2")]
-        bench.table.update_from_list(listed)
-        bench.table.record_failure("d1", REFUSED)
-        await bench.timers.sleep(10.0)
-        bench.table.update_from_list(listed)
-        lagging = bench.usable("desk", "")
-        # It was restarted between two states of the list.
-        await bench.timers.sleep(30.0)
-        bench.table.update_from_list(listed)
-        return lagging, bench.usable("desk", "")
-
-    assert run(scene) == (["d2"], ["d1", "d2"])
-
-
-def test_leaving_in_the_list_and_gone_from_it():
-    async def scene():
-        bench = Bench("e1", "e2", "e3")
-        bench.table.update_from_list(
+        harness.table.update_from_list(listed)
+        harness.table.record_failure("d1", REFUSED)
+        await harness.timers.sleep(10.0)
+        harness.table.update_from_list(listed)
+        lagging = harness.usable("desk", "")
+        # After the list lag, the endpoint counts as restarted under its id.
+        await harness.timers.sleep(30.0)
+        harness.table.update_from_list(listed)
+        return lagging, harness.usable("desk", "")
+
+    assert run(scenario) == (["d2"], ["d1", "d2"])
+
+
+def test_endpoint_listed_as_leaving_then_unlisted():
+    async def scenario():
+        harness = Harness("e1", "e2", "e3")
+        harness.table.update_from_list(
             list_engines("e1", "e2", "e3", leaving=["e1"])
         )
-        leaving = bench.usable()
-        bench.table.update_from_list(list_engines("e2", "e3"))
-        return leaving, bench.table.read_state("e1"), bench.states[3:]
+        leaving = harness.usable()
+        harness.table.update_from_list(list_engines("e2", "e3"))
+        return leaving, harness.table.read_state("e1"), harness.states[3:]
 
-    assert run(scene) == (
+    assert run(scenario) == (
         ["e2", "e3"],
         endpoints.EndpointState.GONE,
         ["leaving", "gone"],
     )
 
 
-def test_ordered_drain_lasts_until_it_is_taken_back():
-    async def scene():
-        bench = Bench("e1", "e2")
-        bench.table.mark_draining("e1")
-        bench.table.record_load(report("e1", 2))
-        drained = bench.usable()
-        bench.table.end_draining("e1")
-        bench.table.record_load(report("e1", 3))
-        return drained, bench.usable()
+def test_drain_lasts_until_it_is_ended():
+    async def scenario():
+        harness = Harness("e1", "e2")
+        harness.table.mark_draining("e1")
+        harness.table.record_load(report("e1", 2))
+        drained = harness.usable()
+        harness.table.end_draining("e1")
+        harness.table.record_load(report("e1", 3))
+        return drained, harness.usable()
 
-    assert run(scene) == (["e2"], ["e1", "e2"])
+    assert run(scenario) == (["e2"], ["e1", "e2"])
 
 
-def test_failed_endpoint_is_held_back_then_on_probation():
-    async def scene():
-        bench = Bench("e1", "e2", "e3")
-        bench.table.record_failure("e1", BROKEN)
-        held = bench.usable()
-        await bench.timers.sleep(0.6)
+def test_failed_endpoint_is_held_down_then_on_probation():
+    async def scenario():
+        harness = Harness("e1", "e2", "e3")
+        harness.table.record_failure("e1", BROKEN)
+        held = harness.usable()
+        await harness.timers.sleep(0.6)
         probation = [
             (view.endpoint.endpoint_id, view.probation)
-            for view in bench.table.usable("pool", "m")
+            for view in harness.table.usable("pool", "m")
         ]
-        bench.table.record_success("e1")
-        return held, probation, bench.states[3:]
+        harness.table.record_success("e1")
+        return held, probation, harness.states[3:]
 
-    assert run(scene) == (
+    assert run(scenario) == (
         ["e2", "e3"],
         [("e1", True), ("e2", False), ("e3", False)],
         ["suspect", "ready"],
     )
 
 
-def test_success_of_an_earlier_request_does_not_end_the_hold():
-    async def scene():
-        bench = Bench("e1", "e2", "e3")
-        bench.table.record_failure("e1", BROKEN)
-        bench.table.record_success("e1")
-        return bench.usable(), bench.states[3:]
+def test_success_of_an_earlier_request_does_not_end_the_hold_down():
+    async def scenario():
+        harness = Harness("e1", "e2", "e3")
+        harness.table.record_failure("e1", BROKEN)
+        harness.table.record_success("e1")
+        return harness.usable(), harness.states[3:]
 
-    assert run(scene) == (["e2", "e3"], ["suspect"])
+    assert run(scenario) == (["e2", "e3"], ["suspect"])
 
 
-def test_refusal_under_load_is_no_fault_of_the_endpoint():
-    async def scene():
-        bench = Bench("e1", "e2")
+def test_refusal_under_load_does_not_count_as_failure():
+    async def scenario():
+        harness = Harness("e1", "e2")
         for _ in range(10):
-            bench.table.record_failure("e1", FULL)
-        return bench.usable()
+            harness.table.record_failure("e1", FULL)
+        return harness.usable()
 
-    assert run(scene) == ["e1", "e2"]
+    assert run(scenario) == ["e1", "e2"]
 
 
-def test_flapping_endpoint_is_held_back_longer_and_longer():
-    async def scene():
-        bench = Bench("e1", "e2", "e3")
+def test_hold_down_of_a_flapping_endpoint_doubles_to_the_cap():
+    async def scenario():
+        harness = Harness("e1", "e2", "e3")
         holds_s = []
         for _ in range(9):
-            bench.table.record_failure("e1", BROKEN)
-            started_s = bench.timers.read_monotonic()
-            while "e1" not in bench.usable():
-                await bench.timers.sleep(0.125)
-            bench.table.record_success("e1")
-            holds_s.append(bench.timers.read_monotonic() - started_s)
-        # After it was well for a while, the first hold-down is due again.
-        await bench.timers.sleep(40.0)
-        bench.table.record_failure("e1", BROKEN)
-        held = "e1" not in bench.usable()
-        await bench.timers.sleep(0.5)
-        return holds_s, held, "e1" in bench.usable()
-
-    assert run(scene) == (
+            harness.table.record_failure("e1", BROKEN)
+            started_s = harness.timers.read_monotonic()
+            while "e1" not in harness.usable():
+                await harness.timers.sleep(0.125)
+            harness.table.record_success("e1")
+            holds_s.append(harness.timers.read_monotonic() - started_s)
+        # After a stable period the hold-down starts again at its first value.
+        await harness.timers.sleep(40.0)
+        harness.table.record_failure("e1", BROKEN)
+        held = "e1" not in harness.usable()
+        await harness.timers.sleep(0.5)
+        return holds_s, held, "e1" in harness.usable()
+
+    assert run(scenario) == (
         [0.5, 1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0, 30.0],
         True,
         True,
     )
 
 
-def test_rack_that_dies_does_not_take_the_rest_with_it():
-    async def scene():
+def test_loss_of_a_rack_leaves_the_survivors_usable():
+    async def scenario():
         names = [f"e{number}" for number in range(10)]
-        bench = Bench(*names)
-        await bench.timers.sleep(60.0)
+        harness = Harness(*names)
+        await harness.timers.sleep(60.0)
         for name in names[4:]:
-            bench.table.record_load(report(name, 2))
+            harness.table.record_load(report(name, 2))
         for name in names[:4]:
-            bench.table.record_failure(name, BROKEN)
-        rack = bench.usable()
-        # The rest takes over the load, and some of it fails.
+            harness.table.record_failure(name, BROKEN)
+        rack = harness.usable()
+        # The survivors take over the load and fail as well.
         for name in names[4:]:
-            bench.table.record_failure(name, BROKEN)
-        return rack, bench.usable()
+            harness.table.record_failure(name, BROKEN)
+        return rack, harness.usable()
 
     rest = [f"e{number}" for number in range(4, 10)]
-    assert run(scene) == (rest, rest)
+    assert run(scenario) == (rest, rest)
 
 
-def test_when_everything_failed_trying_goes_before_refusing():
-    async def scene():
-        bench = Bench("e1", "e2")
-        await bench.timers.sleep(60.0)
-        bench.table.record_failure("e1", BROKEN)
-        bench.table.record_failure("e2", BROKEN)
-        return bench.usable()
+def test_all_endpoints_are_tried_when_all_failed():
+    async def scenario():
+        harness = Harness("e1", "e2")
+        await harness.timers.sleep(60.0)
+        harness.table.record_failure("e1", BROKEN)
+        harness.table.record_failure("e2", BROKEN)
+        return harness.usable()
 
-    assert run(scene) == ["e1", "e2"]
+    assert run(scenario) == ["e1", "e2"]
 
 
-def test_in_a_mass_loss_those_that_live_are_tried_and_the_dead_are_not():
-    async def scene():
+def test_mass_failure_keeps_only_endpoints_that_report_again():
+    async def scenario():
         names = [f"e{number}" for number in range(8)]
-        bench = Bench(*names)
-        await bench.timers.sleep(1.0)
+        harness = Harness(*names)
+        await harness.timers.sleep(1.0)
         for name in names[:6]:
-            bench.table.record_failure(name, BROKEN)
-        dead = bench.usable()
-        # Two of them failed only under the shock, and report their load again.
+            harness.table.record_failure(name, BROKEN)
+        dead = harness.usable()
+        # Two of them failed only briefly and send load reports again.
         for name in names[4:6]:
-            bench.table.record_load(report(name, 2))
-        await bench.timers.sleep(0.1)
-        bench.table.record_load(report("e4", 3))
-        bench.table.record_load(report("e5", 3))
-        return dead, bench.usable()
+            harness.table.record_load(report(name, 2))
+        await harness.timers.sleep(0.1)
+        harness.table.record_load(report("e4", 3))
+        harness.table.record_load(report("e5", 3))
+        return dead, harness.usable()
 
-    assert run(scene) == (["e6", "e7"], ["e4", "e5", "e6", "e7"])
+    assert run(scenario) == (["e6", "e7"], ["e4", "e5", "e6", "e7"])
 
 
 @pytest.mark.parametrize("alive", [True, False])
-def test_list_that_lost_most_of_a_service_is_doubted(alive):
-    async def scene():
-        bench = Bench("e1", "e2", "e3")
+def test_list_without_most_of_a_service_is_distrusted(alive):
+    async def scenario():
+        harness = Harness("e1", "e2", "e3")
         if not alive:
-            await bench.timers.sleep(60.0)
-        bench.table.update_from_list([])
-        return bench.usable()
+            await harness.timers.sleep(60.0)
+        harness.table.update_from_list([])
+        return harness.usable()
 
-    assert run(scene) == (["e1", "e2", "e3"] if alive else [])
+    assert run(scenario) == (["e1", "e2", "e3"] if alive else [])
 
 
-def test_endpoint_that_nobody_listed_is_passed_over():
-    async def scene():
-        bench = Bench("e1")
-        bench.table.record_load(report("x"))
-        bench.table.record_failure("x", BROKEN)
-        bench.table.record_success("x")
-        bench.table.mark_draining("x")
-        return bench.usable(), bench.table.read_state("x").value
+def test_unlisted_endpoint_is_ignored():
+    async def scenario():
+        harness = Harness("e1")
+        harness.table.record_load(report("x"))
+        harness.table.record_failure("x", BROKEN)
+        harness.table.record_success("x")
+        harness.table.mark_draining("x")
+        return harness.usable(), harness.table.read_state("x").value
 
-    assert run(scene) == (["e1"], "gone")
+    assert run(scenario) == (["e1"], "gone")
--- a/rhubarblock/fleet/endpointlife.py
+++ b/rhubarblock/fleet/endpointstate.py
@@ -1,8 +1,8 @@
-"""The life of one endpoint as an entry instance sees it.
+"""State machine of one endpoint, as seen by one entry instance.
 
-The steps are a table, so that what cannot follow on what is seen at a glance.
-A step costs some 20 microseconds, so it is taken when a state changes and
-never for a request as such.
+The transitions are a table, which shows at a glance which ones are possible.
+A transition costs about 20 microseconds, so it is triggered by a change of
+state and never per request.
 """
 
 import logging
@@ -37,7 +37,7 @@
 _logger = logging.getLogger(__name__)
 
 
-# One machine holds the table for all endpoints; it has no model of its own.
+# One machine without a model of its own is shared by all endpoints.
 _MACHINE = transitions.Machine(
     model=None,
     states=_State,
@@ -45,62 +45,63 @@
     initial=_State.KNOWN,
     auto_transitions=False,
 )
-# States from which each step is possible; the machine would warn of others.
+# Source states of each transition. They are checked beforehand, since the
+# machine would log a warning for any other state.
 _SOURCES = {step: frozenset(sources) for step, sources, _ in _TRANSITIONS}
 
 
-class EndpointLife:
-    """State of one endpoint; a step that cannot follow is passed over.
+class EndpointStateMachine:
+    """State of one endpoint; impossible transitions are ignored.
 
     Attributes:
-      state: the present state.
+      state: the current state.
     """
 
     __slots__ = ("_endpoint_id", "state")
 
     def __init__(self, endpoint_id: str):
-        """Creates the life of an endpoint that is only known so far."""
+        """Creates the state machine in state KNOWN."""
         self._endpoint_id = endpoint_id
         self.state = _State.KNOWN
 
     def start_loading(self) -> bool:
-        """Notes that it has no model loaded yet."""
+        """Records that no model is loaded yet."""
         return self._trigger("start_loading")
 
     def become_ready(self) -> bool:
-        """Notes that it can serve."""
+        """Records that it can serve."""
         return self._trigger("become_ready")
 
     def suspect(self) -> bool:
-        """Notes that it failed."""
+        """Records that it failed."""
         return self._trigger("suspect")
 
     def recover(self) -> bool:
-        """Notes that it served again after it failed."""
+        """Records that it served again after a failure."""
         return self._trigger("recover")
 
     def drain(self) -> bool:
-        """Notes that it gets no new work until the drain ends."""
+        """Records that it gets no new requests until the drain ends."""
         return self._trigger("drain")
 
     def end_drain(self) -> bool:
-        """Notes that it may get work again."""
+        """Records that it may get requests again."""
         return self._trigger("end_drain")
 
     def leave(self) -> bool:
-        """Notes that it is about to stop."""
+        """Records that it is about to stop."""
         return self._trigger("leave")
 
     def restart(self) -> bool:
-        """Notes that another process took its place."""
+        """Records that another process replaced it."""
         return self._trigger("restart")
 
     def vanish(self) -> bool:
-        """Notes that it is gone for good."""
+        """Records that it is gone for good."""
         return self._trigger("vanish")
 
     def _trigger(self, step: str) -> bool:
-        """Takes a step; returns whether the state changed."""
+        """Triggers a transition; returns whether the state changed."""
         before = self.state
         if before not in _SOURCES[step]:
             return False
--- a/rhubarblock/fleet/engineclient.py
+++ b/rhubarblock/fleet/engineclient.py
@@ -1,8 +1,8 @@
-"""Interface to a model engine, over sockets or in memory.
+"""Interface to model engines, over sockets or in memory.
 
 The protocol is described in docs/standins.md. Relay, routing and fleet use
-this interface only, so the same code runs against an engine process and
-against an engine object under the fake clock.
+only this interface, so that the same code runs against an engine process and
+against an in-memory engine on the virtual clock.
 """
 
 import abc
@@ -13,19 +13,19 @@
 
 
 class EngineClient(abc.ABC):
-    """Talks to the engines of a fleet by their address.
+    """Client of the engines of a fleet, each given by its address.
 
-    Every method raises ``failure.FailureError``: the verdict is NOT_RUN only
-    when the engine cannot have seen the whole request or refused it outright.
+    Every method raises ``failure.FailureError``. Its verdict is NOT_RUN only if
+    the engine cannot have received the whole request, or refused it.
     """
 
     @abc.abstractmethod
     def generate(
         self, address: str, attempt: attempts.Attempt
     ) -> AsyncGenerator[attempts.Chunk, None]:
-        """Runs an attempt and yields the pieces of its answer.
+        """Runs an attempt and yields its answer in chunks.
 
-        Closing the iterator cancels the attempt at the engine.
+        Closing the generator cancels the attempt at the engine.
 
         Args:
           address: ``host:port`` of the engine.
@@ -38,7 +38,7 @@
 
     @abc.abstractmethod
     async def cancel(self, address: str, attempt_id: str) -> bool:
-        """Frees all that an attempt holds (memory, stream, export).
+        """Frees everything that an attempt holds (memory, stream, export).
 
         Returns:
           Whether the engine still knew the attempt.
@@ -46,21 +46,21 @@
 
     @abc.abstractmethod
     async def fetch_load(self, address: str) -> endpoints.LoadReport:
-        """Returns the engine's latest, lagging, load report."""
+        """Returns the engine's latest load report, which lags its state."""
 
     @abc.abstractmethod
     async def fetch_cache_events(
         self, address: str, after: int
     ) -> list[attempts.CacheEvent]:
-        """Returns the cache events after a sequence number, with gaps."""
+        """Returns cache events after a sequence number; some may be missing."""
 
     @abc.abstractmethod
     async def give_order(
         self, address: str, order: attempts.Order
     ) -> endpoints.LoadReport:
-        """Gives an order and returns the state after it was accepted.
+        """Gives an order and returns the engine's state after accepting it.
 
         Raises:
-          failure.FailureError: FORBIDDEN when the engine checks fencing
-            numbers and this one is old.
+          failure.FailureError: FORBIDDEN if the engine checks fencing numbers
+            and the order's one is outdated.
         """
--- a/rhubarblock/fleet/enginework.py
+++ b/rhubarblock/fleet/engineupdate.py
@@ -1,7 +1,7 @@
-"""Brings one engine to the models that it should run, without a gap.
+"""Changes the models of one engine without interrupting service.
 
-New models are loaded beside the old ones and answer a small prompt of ours
-before the old ones are dropped, so requests always find one that works.
+New models are loaded next to the old ones and must answer a canary prompt
+before the old ones are unloaded, so that requests always find a working model.
 """
 
 import asyncio
@@ -24,21 +24,21 @@
 _CANARY_TOKENS = 8
 _POLL_S = 0.5
 
-# Failures that say that an engine could not be reached, and nothing of the
-# version that it was to run.
-_UNREACHED_CODES = frozenset({_Code.NO_ENDPOINT, _Code.DRAINING})
+# Failures that show that the engine was unavailable. They are no evidence
+# against the version.
+_UNAVAILABLE_CODES = frozenset({_Code.NO_ENDPOINT, _Code.DRAINING})
 
 
 class LeaseLostError(Exception):
-    """The lease ran out, or an engine obeys a later holder."""
+    """The lease expired, or an engine obeyed a later holder."""
 
 
 class VersionFailedError(Exception):
-    """A version did not load or did not answer.
+    """A version did not load or did not answer the canary prompt.
 
     Attributes:
       name: the version, as an engine loads it.
-      certain: whether the fault is the version's own and not the engine's.
+      certain: whether the version is at fault and not the engine.
     """
 
     def __init__(self, name: str, reason: str, certain: bool):
@@ -48,13 +48,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class WorkSettings:
+class EngineUpdateSettings:
     """Times in seconds.
 
     Attributes:
-      load_timeout_s: longest time to load a model.
-      canary_timeout_s: longest time to answer our prompt.
-      order_timeout_s: time to wait for the answer to an order.
+      load_timeout_s: timeout for loading a model.
+      canary_timeout_s: timeout for the answer to the canary prompt.
+      order_timeout_s: timeout for the response to an order.
     """
 
     load_timeout_s: float = 300.0
@@ -62,8 +62,8 @@
     order_timeout_s: float = 2.0
 
 
-class EngineWorker:
-    """Gives orders to engines while the lease is held."""
+class EngineUpdater:
+    """Gives orders to engines and changes their models under a lease."""
 
     __slots__ = ("_client", "_lease", "_timers", "_rng", "_settings", "_owner")
 
@@ -74,24 +74,24 @@
         timers: timers_lib.Timers,
         rng: random.Random,
         owner: str,
-        settings: WorkSettings | None = None,
+        settings: EngineUpdateSettings | None = None,
     ):
-        """Creates a worker.
+        """Creates an updater.
 
         Args:
-          client: calls to engines.
+          client: carries calls to engines.
           lease: must be held for each order.
           timers: the timer service.
-          rng: makes the ids of our prompts.
-          owner: this instance and its incarnation.
-          settings: times.
+          rng: generates the ids of canary prompts.
+          owner: id and incarnation of this instance.
+          settings: timeouts.
         """
         self._client = client
         self._lease = lease
         self._timers = timers
         self._rng = rng
         self._owner = owner
-        self._settings = settings or WorkSettings()
+        self._settings = settings or EngineUpdateSettings()
 
     async def give_order(
         self, endpoint: endpoints.Endpoint, order: attempts.Order
@@ -103,10 +103,11 @@
           order: its desired state; the fencing number is filled in.
 
         Returns:
-          The engine's state after it.
+          The engine's state after the order.
 
         Raises:
-          LeaseLostError: the lease is not held, or a later holder was obeyed.
+          LeaseLostError: the lease is not held, or the engine obeyed a later
+            holder.
           failure.FailureError: the order may not have arrived.
         """
         if not self._lease.is_held():
@@ -131,35 +132,35 @@
         self,
         endpoint: endpoints.Endpoint,
         report: endpoints.LoadReport,
-        goal: attempts.Order,
-        proved: Callable[[str], bool],
+        desired: attempts.Order,
+        is_trusted: Callable[[str], bool],
     ) -> endpoints.LoadReport:
-        """Brings an engine to the models of an order.
+        """Changes the models of an engine to those of an order.
 
         Args:
           endpoint: the engine.
-          report: what it runs now.
-          goal: what it should run in the end.
-          proved: says of a version whether it needs no proof any more.
+          report: its current state.
+          desired: its desired state.
+          is_trusted: returns whether a loaded version needs no canary prompt.
 
         Returns:
-          The engine's state in the end.
+          The engine's final state.
 
         Raises:
           LeaseLostError: as ``give_order``.
           VersionFailedError: a model did not load or did not answer.
           failure.FailureError: as ``give_order``.
         """
-        missing = [name for name in goal.models if name not in report.models]
+        missing = [name for name in desired.models if name not in report.models]
         if missing:
             both = (*report.models, *missing)
-            order = dataclasses.replace(goal, models=both)
+            order = dataclasses.replace(desired, models=both)
             await self.give_order(endpoint, order)
             await self._wait_loaded(endpoint, report.start_id, missing)
-        for name in goal.models:
-            if name in missing or not proved(name):
-                await self._prove(endpoint, name)
-        return await self.give_order(endpoint, goal)
+        for name in desired.models:
+            if name in missing or not is_trusted(name):
+                await self._verify(endpoint, name)
+        return await self.give_order(endpoint, desired)
 
     async def _wait_loaded(
         self, endpoint: endpoints.Endpoint, start_id: str, names: list[str]
@@ -176,7 +177,7 @@
                     return
         raise VersionFailedError(names[0], "it did not load", certain=False)
 
-    async def _prove(self, endpoint: endpoints.Endpoint, name: str) -> None:
+    async def _verify(self, endpoint: endpoints.Endpoint, name: str) -> None:
         attempt = attempts.Attempt(
             attempt_id=f"canary-{self._rng.getrandbits(64):016x}/1",
             owner=self._owner,
@@ -189,17 +190,17 @@
         )
         try:
             async with asyncio.timeout(self._settings.canary_timeout_s):
-                whole = await self._run_canary(endpoint, attempt)
+                is_complete = await self._run_canary(endpoint, attempt)
         except TimeoutError:
             raise VersionFailedError(
                 name, "it did not answer in time", certain=True
             ) from None
         except failures.FailureError as error:
-            certain = error.failure.code not in _UNREACHED_CODES
+            certain = error.failure.code not in _UNAVAILABLE_CODES
             raise VersionFailedError(
                 name, error.failure.message, certain
             ) from error
-        if not whole:
+        if not is_complete:
             raise VersionFailedError(
                 name, "its answer was cut short", certain=True
             )
@@ -207,7 +208,7 @@
     async def _run_canary(
         self, endpoint: endpoints.Endpoint, attempt: attempts.Attempt
     ) -> bool:
-        """Returns whether the answer came whole."""
+        """Returns whether the answer was complete."""
         chunks = self._client.generate(endpoint.address, attempt)
         async with contextlib.aclosing(chunks) as answer:
             async for chunk in answer:
--- a/rhubarblock/fleet/enginewire.py
+++ b/rhubarblock/fleet/enginewire.py
@@ -1,7 +1,7 @@
-"""How attempts, answers, orders and reports of engines look as JSON.
+"""JSON encoding of the engine protocol.
 
-The client and the stand-in server share it. The protocol is described in
-docs/standins.md.
+Covers attempts, answers, orders and reports. The client and the stand-in server
+share this module. The protocol is described in docs/standins.md.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
     """Returns the JSON object in a body.
 
     Raises:
-      failure.FailureError: BAD_REQUEST when it holds something else.
+      failure.FailureError: BAD_REQUEST if the body is not a JSON object.
     """
     try:
         value = json.loads(body)
@@ -69,7 +69,7 @@
     """Returns the attempt in the body of ``POST /v1/generate``.
 
     Raises:
-      failure.FailureError: BAD_REQUEST, naming the field that is wrong.
+      failure.FailureError: BAD_REQUEST, naming the invalid field.
     """
     data = parse_json(body)
     return attempts.Attempt(
@@ -96,11 +96,11 @@
     """Returns the chunk in one server-sent event, or None at ``[DONE]``.
 
     Args:
-      event: ``data: ...`` without the empty line behind it.
+      event: ``data: ...`` without the empty line that ends it.
 
     Raises:
-      failure.FailureError: the event carries the engine's error.
-      ValueError: the event isn't of the protocol.
+      failure.FailureError: the event carries an error of the engine.
+      ValueError: the event violates the protocol.
     """
     payload = event.removeprefix(_DATA)
     if payload == b"[DONE]":
@@ -115,7 +115,7 @@
 
 
 def encode_failure(failure: failures.Failure) -> bytes:
-    """Returns the body of an error answer."""
+    """Returns the body of an error response."""
     return encode_json(
         {
             "error": {
@@ -128,9 +128,9 @@
 
 
 def parse_failure(body: bytes) -> failures.Failure:
-    """Returns the failure in the body of an error answer.
+    """Returns the failure in the body of an error response.
 
-    A body that says nothing useful leaves open whether the attempt ran.
+    For a body that cannot be parsed the verdict is MAY_HAVE_RUN.
     """
     try:
         error = json.loads(body)["error"]
@@ -165,7 +165,7 @@
     """Returns the order in the body of ``POST /v1/orders``.
 
     Raises:
-      failure.FailureError: BAD_REQUEST, naming the field that is wrong.
+      failure.FailureError: BAD_REQUEST, naming the invalid field.
     """
     data = parse_json(body)
     return attempts.Order(
@@ -179,7 +179,7 @@
 
 
 def encode_load(report: endpoints.LoadReport) -> bytes:
-    """Returns the body of the answer to ``GET /v1/load``."""
+    """Returns the body of the response to ``GET /v1/load``."""
     return encode_json(
         {
             "endpoint_id": report.endpoint_id,
@@ -202,16 +202,16 @@
 
 
 def parse_load(body: bytes) -> endpoints.LoadReport:
-    """Returns the report in the answer to ``GET /v1/load``.
+    """Returns the report in the response to ``GET /v1/load``.
 
     Raises:
-      ValueError: the answer isn't of the protocol.
+      ValueError: the response violates the protocol.
     """
     return _parse_answer(body, _parse_load)
 
 
 def encode_cache_events(events: list[attempts.CacheEvent]) -> bytes:
-    """Returns the body of the answer to ``GET /v1/cache_events``."""
+    """Returns the body of the response to ``GET /v1/cache_events``."""
     return encode_json(
         {
             "events": [
@@ -227,10 +227,10 @@
 
 
 def parse_cache_events(body: bytes) -> list[attempts.CacheEvent]:
-    """Returns the events in the answer to ``GET /v1/cache_events``.
+    """Returns the events in the response to ``GET /v1/cache_events``.
 
     Raises:
-      ValueError: the answer isn't of the protocol.
+      ValueError: the response violates the protocol.
     """
     return _parse_answer(body, _parse_cache_events)
 
@@ -274,7 +274,7 @@
     chunk = attempts.Chunk(
         data["attempt"],
         data["offset"],
-        1 if choice["text"] else 0,  # An event holds one token, or none.
+        1 if choice["text"] else 0,  # One token per event, or none.
         choice["text"],
     )
     if choice["finish_reason"] is not None:
@@ -306,9 +306,9 @@
 def _read(
     data: Mapping[str, Any], name: str, kind: type[T], default: T | None = None
 ) -> T:
-    """Returns a field, checked for its type."""
+    """Returns a field after checking its type."""
     value = data.get(name, default)
-    # In Python a bool is an int too, in the protocol it is not.
+    # bool is a subclass of int in Python, but no number in the protocol.
     is_bool = isinstance(value, bool)
     if not isinstance(value, kind) or (is_bool and kind is not bool):
         raise _make_error(f"{name} must be of type {kind.__name__}")
--- a/rhubarblock/fleet/enginewire_test.py
+++ b/rhubarblock/fleet/enginewire_test.py
@@ -49,12 +49,12 @@
 )
 
 
-def test_an_attempt_survives_the_way():
+def test_attempt_round_trips():
     assert enginewire.encode_attempt(ATTEMPT) == ATTEMPT_JSON
     assert enginewire.parse_attempt(ATTEMPT_JSON) == ATTEMPT
 
 
-def test_orders_reports_and_cache_events_survive_the_way():
+def test_orders_reports_and_cache_events_round_trip():
     order = attempts.Order(3, 4, "both", ("m@1",), ("fine",), True)
     events = [attempts.CacheEvent(1, "b", True)]
 
@@ -72,7 +72,7 @@
         (b"{}", "attempt_id must be of type str"),
     ],
 )
-def test_a_wrong_attempt_is_named(body, message):
+def test_malformed_attempt_is_rejected_with_a_reason(body, message):
     with pytest.raises(failures.FailureError) as caught:
         enginewire.parse_attempt(body)
 
@@ -90,7 +90,7 @@
         (b'"tokens":5', b'"tokens":"5"', "tokens must be of type int"),
     ],
 )
-def test_a_field_of_the_wrong_type_is_named(right, wrong, message):
+def test_field_of_wrong_type_is_named_in_the_error(right, wrong, message):
     body = ATTEMPT_JSON.replace(right, wrong)
     with pytest.raises(failures.FailureError) as caught:
         enginewire.parse_attempt(body)
@@ -98,7 +98,7 @@
     assert message in caught.value.failure.message
 
 
-def test_a_failure_survives_the_way():
+def test_failure_round_trips():
     failure = failures.Failure(
         failures.FailureCode.DRAINING, "no", verdicts.Verdict.NOT_RUN
     )
@@ -111,14 +111,14 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"<html>", b"[]", b'{"error":{}}'])
-def test_an_error_without_explanation_may_have_run(body):
+def test_unexplained_error_means_may_have_run(body):
     failure = enginewire.parse_failure(body)
 
     assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
     assert failure.code is failures.FailureCode.ENDPOINT_FAILED
 
 
-def test_events_are_parsed_one_token_each():
+def test_token_and_end_events_are_parsed():
     token = (
         b'data: {"id":"r","attempt":"r/1","offset":4,"choices":[{"index":0,'
         b'"text":" 012345","logprobs":null,"finish_reason":null}]}'
@@ -139,12 +139,12 @@
 
 
 @pytest.mark.parametrize("event", [b"data: {}", b"data: x", b"", b"data: 1"])
-def test_what_is_no_event_is_an_error(event):
+def test_malformed_event_raises(event):
     with pytest.raises(ValueError):
         enginewire.parse_event(event)
 
 
-def test_what_is_no_report_is_an_error():
+def test_malformed_report_raises():
     for parse in (enginewire.parse_load, enginewire.parse_cache_events):
         with pytest.raises(ValueError):
             parse(b'{"x":1}')
--- a/rhubarblock/fleet/grpcpeers.py
+++ b/rhubarblock/fleet/grpcpeers.py
@@ -1,8 +1,8 @@
-"""Calls between entry instances over gRPC.
+"""gRPC transport for calls between entry instances.
 
-One unary method carries every kind of message in an envelope, so that a new
-subsystem adds a handler and no service definition. Only the transport of gRPC
-is used: who the peers are is decided by ``fleet.membership``.
+One unary method carries all kinds of messages in an envelope, so that a new
+subsystem needs only a handler and no service definition. gRPC serves only as
+the transport: ``fleet.membership`` determines the peers.
 """
 
 import asyncio
@@ -22,36 +22,36 @@
 _SERVICE = "rhubarblock.Peer"
 _METHOD = f"/{_SERVICE}/Call"
 
-# Seconds between two looks at the key files.
+# Seconds between two checks of the key files for changes.
 RELOAD_INTERVAL_S = 5.0
-# A channel that carried no call for this long is closed: peers are replaced
-# at any time, and their addresses would pile up.
+# A channel without calls for this long is closed. Otherwise channels to
+# addresses of replaced peers would accumulate.
 CHANNEL_IDLE_S = 300.0
-# Calls under way on a channel or server that is closed get this long to end.
+# Grace period in seconds for calls in flight when a channel or server closes.
 CLOSE_GRACE_S = 1.0
-# A catalogue may have a megabyte, and the envelope adds little to it.
+# A catalogue may be 1 MB; the envelope adds little.
 _MESSAGE_LIMIT_BYTES = 4 * 1024 * 1024
-# A peer that was away must be found again within a heartbeat or two.
-_RECONNECT_FIRST_MS = 100
-_RECONNECT_MOST_MS = 1000
+# A peer that was away must be reconnected within one or two heartbeats.
+_RECONNECT_MIN_MS = 100
+_RECONNECT_MAX_MS = 1000
 
 _COMMON_OPTIONS = [
     ("grpc.max_receive_message_length", _MESSAGE_LIMIT_BYTES),
-    # Probing the bandwidth would send as many pings as there are heartbeats.
+    # Bandwidth probing would send a ping for each heartbeat.
     ("grpc.http2.bdp_probe", 0),
 ]
 _SERVER_OPTIONS = [
     *_COMMON_OPTIONS,
-    # A busy port must be an error and not be shared with another process.
+    # A port in use must be an error and not be shared with another process.
     ("grpc.so_reuseport", 0),
 ]
 _CHANNEL_OPTIONS = [
     *_COMMON_OPTIONS,
     ("grpc.enable_http_proxy", 0),
     ("grpc.use_local_subchannel_pool", 1),
-    ("grpc.initial_reconnect_backoff_ms", _RECONNECT_FIRST_MS),
-    ("grpc.min_reconnect_backoff_ms", _RECONNECT_FIRST_MS),
-    ("grpc.max_reconnect_backoff_ms", _RECONNECT_MOST_MS),
+    ("grpc.initial_reconnect_backoff_ms", _RECONNECT_MIN_MS),
+    ("grpc.min_reconnect_backoff_ms", _RECONNECT_MIN_MS),
+    ("grpc.max_reconnect_backoff_ms", _RECONNECT_MAX_MS),
 ]
 
 _logger = logging.getLogger(__name__)
@@ -59,11 +59,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PeerIdentity:
-    """Who this instance is towards its peers.
+    """Identity of this instance in calls to peers.
 
     Attributes:
       instance_id: unique name.
-      incarnation: rises with each start of the instance.
+      incarnation: increases with each start of the instance.
     """
 
     instance_id: str
@@ -80,8 +80,8 @@
 class GrpcPeers(peertransport.PeerTransport):
     """Carries calls between entry instances over gRPC.
 
-    Handlers are registered before or after it runs; it sends and answers
-    calls while the context of ``run`` is open.
+    Handlers may be registered at any time; calls are sent and served while the
+    context of ``run`` is open.
     """
 
     def __init__(
@@ -95,9 +95,9 @@
 
         Args:
           listen: ``host:port`` to listen on; port 0 takes a free one.
-          identity: who this instance is.
+          identity: identity of this instance.
           timers: the timer service.
-          tls: key material; None sends everything in the clear.
+          tls: files with the key material; None disables TLS.
 
         Raises:
           OSError: the key material cannot be read.
@@ -115,12 +115,12 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` that it listens on, once it runs."""
+        """``host:port`` that it listens on; empty before ``run``."""
         return self._address
 
     @property
     def channel_count(self) -> int:
-        """Channels held open to peers."""
+        """Number of open channels to peers."""
         return len(self._channels)
 
     def register(self, kind: str, handler: peertransport.Handler) -> None:
@@ -174,7 +174,7 @@
 
     def _create_handler(self) -> grpc.GenericRpcHandler:
         method = grpc.unary_unary_rpc_method_handler(
-            self._answer,
+            self._handle_call,
             request_deserializer=peer_pb2.Envelope.FromString,
             response_serializer=peer_pb2.Envelope.SerializeToString,
         )
@@ -194,13 +194,13 @@
         self._server_config = peertls.create_server_config(self._material)
         credentials = grpc.dynamic_ssl_server_credentials(
             self._server_config,
-            # gRPC asks at each handshake, from a thread of its own.
+            # Called by gRPC at each handshake, from another thread.
             lambda: self._server_config,
             require_client_authentication=True,
         )
         return server.add_secure_port(self._listen, credentials)
 
-    async def _answer(
+    async def _handle_call(
         self,
         request: peer_pb2.Envelope,
         context: grpc.aio.ServicerContext,
@@ -220,8 +220,8 @@
         try:
             answer = await handler(request.sender, request.payload)
         except Exception as error:
-            # gRPC would log a traceback for each call; the peer learns no more
-            # than that it failed.
+            # Otherwise gRPC would log a traceback for each failed call. The
+            # peer gets only the error's repr.
             self.counters.handler_failures += 1
             _logger.debug("handler of %s failed", request.kind, exc_info=True)
             await context.abort(grpc.StatusCode.INTERNAL, repr(error))
@@ -233,7 +233,8 @@
         )
 
     def _is_peer(self, context: grpc.aio.ServicerContext) -> bool:
-        # The authority may also sign certificates for other purposes.
+        # The authority may also sign certificates for other purposes, so the
+        # name is checked too.
         assert self._tls is not None
         names = context.auth_context().get("x509_subject_alternative_name", ())
         return self._tls.peer_name.encode() in names
@@ -275,7 +276,7 @@
         try:
             material = peertls.read_material(self._tls)
         except OSError as error:
-            # The files may be in the middle of their replacement.
+            # The files may be in the process of being replaced.
             self.counters.reload_failures += 1
             _logger.warning("key material not readable: %s", error)
             return
@@ -305,7 +306,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerCounters:
-    """What the transport counted since its start."""
+    """Counters of the transport since its start."""
 
     calls_sent: int = 0
     calls_failed: int = 0
--- a/rhubarblock/fleet/grpcpeers_test.py
+++ b/rhubarblock/fleet/grpcpeers_test.py
@@ -22,7 +22,7 @@
 
 
 class Authority:
-    """Signs certificates of a fleet."""
+    """Certificate authority of a fleet."""
 
     def __init__(self, name: str):
         self._key = ec.generate_private_key(ec.SECP256R1())
@@ -102,7 +102,7 @@
         yield first, second
 
 
-def test_answers_a_call():
+def test_call_returns_the_response():
     async def main():
         async with run_pair() as (first, second):
             return await first.call(second.address, "echo", b"hi", 5.0)
@@ -147,7 +147,7 @@
     asyncio.run(main())
 
 
-def test_peer_that_is_gone_is_a_peer_error_and_found_when_back():
+def test_lost_peer_raises_and_is_reconnected():
     async def main():
         async with run_pair() as (first, second):
             address = second.address
@@ -183,7 +183,7 @@
         create_peers("entry-1", files)
 
 
-def test_peers_of_one_authority_talk(tmp_path):
+def test_peers_of_one_authority_can_call_each_other(tmp_path):
     authority = Authority("one")
     first_files = authority.issue(tmp_path / "1")
     second_files = authority.issue(tmp_path / "2")
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("intruder", ["clear", "authority", "name"])
-def test_intruder_is_refused(tmp_path, intruder):
+def test_client_without_a_valid_peer_certificate_is_refused(tmp_path, intruder):
     authority = Authority("one")
     files = authority.issue(tmp_path / "1")
     bad_files = {
@@ -205,7 +205,8 @@
         "name": authority.issue(tmp_path / "3", "web.example"),
     }[intruder]
     if intruder == "authority":
-        # The intruder believes us, but we must not believe it.
+        # The client trusts the server's certificate; the server must still
+        # refuse the client's.
         bad_files.authority.write_bytes(authority.pem)
 
     async def main():
@@ -216,7 +217,7 @@
     asyncio.run(main())
 
 
-def test_server_of_another_name_is_not_believed(tmp_path):
+def test_server_with_another_name_is_rejected(tmp_path):
     authority = Authority("one")
     files = authority.issue(tmp_path / "1")
     bad_files = authority.issue(tmp_path / "2", "web.example")
@@ -245,8 +246,8 @@
         async with run_pair(*files) as (first, second):
             both = [first, second]
             answers.append(await first.call(second.address, "echo", b"0", 5.0))
-            # Both authorities, then the new keys, then only the new authority:
-            # calls pass at each step.
+            # First both authorities, then the new keys, then only the new
+            # authority: calls succeed at each step.
             for item in files:
                 item.authority.write_bytes(old.pem + new.pem)
             await asyncio.gather(*(reloaded(peers, 1) for peers in both))
@@ -272,7 +273,7 @@
 
 
 @pytest.mark.parametrize("fault", ["vanished", "mismatched"])
-def test_broken_key_files_leave_the_old_ones_in_use(
+def test_unreadable_key_files_keep_the_loaded_ones_in_use(
     tmp_path, monkeypatch, fault
 ):
     monkeypatch.setattr(grpcpeers, "RELOAD_INTERVAL_S", 0.02)
--- a/rhubarblock/fleet/holddown.py
+++ b/rhubarblock/fleet/holddown.py
@@ -1,8 +1,8 @@
-"""How long an endpoint that failed gets no new work.
+"""Exponential hold-down of failed endpoints.
 
-The time doubles with each failure up to a cap, and starts anew only after the
-endpoint was well for a while: one that fails and recovers in turns is held
-back longer and longer.
+A failed endpoint gets no new requests during its hold-down. The time doubles
+with each failure up to a cap and is reset only after a stable period, so that
+a flapping endpoint is held down for longer each time.
 """
 
 import dataclasses
@@ -13,9 +13,10 @@
     """Times in seconds.
 
     Attributes:
-      first_s: time after the first failure.
-      cap_s: longest time.
-      stable_s: time without failures after which the first one is due again.
+      first_s: hold-down after the first failure.
+      cap_s: longest hold-down.
+      stable_s: time without failures after which the hold-down starts again at
+        ``first_s``.
     """
 
     first_s: float = 0.5
@@ -34,7 +35,7 @@
     __slots__ = ("_settings", "_level", "failed_s", "until_s")
 
     def __init__(self, settings: HoldDownSettings):
-        """Starts without a failure.
+        """Creates the state of an endpoint that has not failed.
 
         Args:
           settings: times.
@@ -45,22 +46,22 @@
         self.until_s = float("-inf")
 
     def record_failure(self, now_s: float) -> None:
-        """Holds the endpoint back from now on.
+        """Records a failure and starts a hold-down unless one is active.
 
-        Failures while it is held back anyway are those of requests sent
-        before, and do not count.
+        Failures during a hold-down are those of requests sent before it, and
+        do not extend it.
         """
         settings = self._settings
-        well_since_s = max(self.failed_s, self.until_s)
+        healthy_since_s = max(self.failed_s, self.until_s)
         self.failed_s = now_s
         if now_s < self.until_s:
             return
-        if now_s - well_since_s >= settings.stable_s:
+        if now_s - healthy_since_s >= settings.stable_s:
             self._level = 0
         hold_s = min(settings.first_s * 2**self._level, settings.cap_s)
         self._level += hold_s < settings.cap_s
         self.until_s = now_s + hold_s
 
     def is_held(self, now_s: float) -> bool:
-        """Says whether the endpoint gets no new work yet."""
+        """Returns whether the hold-down is active."""
         return now_s < self.until_s
--- a/rhubarblock/fleet/httpengine.py
+++ b/rhubarblock/fleet/httpengine.py
@@ -1,8 +1,8 @@
-"""Client of engines over HTTP.
+"""HTTP client of engines.
 
-``generate`` gives the pieces of an answer, token by token or, for a relay, in
-runs of tokens that were not parsed one by one: see ``StreamSettings``.
-``open_raw`` gives the same answer as the bytes of whole server-sent events.
+``generate`` yields an answer token by token or, for a relay, in chunks of
+several tokens that are not parsed one by one: see ``StreamSettings``.
+``open_raw`` returns the same answer as the bytes of whole server-sent events.
 """
 
 from collections.abc import AsyncGenerator
@@ -23,7 +23,7 @@
 from rhubarblock.kernel import timers as timer_service
 
 CONNECT_TIMEOUT_S = 2.0
-# Largest read from the connection of a stream.
+# Largest read from the connection of a stream, in bytes.
 READ_BYTES = 64 * 1024
 _TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
 _JSON = {"Content-Type": "application/json"}
@@ -34,20 +34,21 @@
     """How the tokens of an answer are read.
 
     Attributes:
-      pass_through: whether the text of token events is taken as bytes, runs
-        of tokens together; False parses the JSON of every event and gives
-        every token by itself.
-      batch_s: seconds for which a connection is not read after a piece, so
-        that tokens which come faster are passed on together; 0 never waits.
+      pass_through: whether the text of consecutive token events is extracted
+        as bytes and joined into one chunk; False parses the JSON of every
+        event and yields a chunk per token.
+      batch_s: seconds for which reading is paused after each block, so that
+        tokens arriving in that time are forwarded as one batch; 0 disables
+        batching.
     """
 
     pass_through: bool = False
     batch_s: float = 0.0
 
 
-# The daemon's way. It does not let connections rest: that lowers the cost of a
-# token further, but adds most of the rest to the gap between tokens, which may
-# be 25 ms for 95 in 100; docs/design/overhead.md has the figures.
+# Setting of the daemon. It does not pause reading: that would lower the cost
+# per token further, but add most of the pause to the gap between tokens, whose
+# 95th percentile may be 25 ms at most; see docs/design/overhead.md.
 DAEMON_STREAMING = StreamSettings(pass_through=True)
 
 
@@ -55,52 +56,52 @@
     """The answer to one attempt as bytes.
 
     Attributes:
-      complete: whether ``[DONE]`` was read: the answer is whole.
+      complete: whether the answer ended with ``[DONE]``.
     """
 
-    __slots__ = ("_error", "_response", "_rest", "complete")
+    __slots__ = ("_error", "_partial", "_response", "complete")
 
     def __init__(self, response: aiohttp.ClientResponse):
         self._response = response
-        self._rest = b""
+        self._partial = b""
         self._error = b""
         self.complete = False
 
     async def read_block(self) -> bytes:
-        """Returns the next events, whole and unchanged.
+        """Returns the next whole events, unchanged.
 
         Returns:
-          One or more events, each with the empty line that ends it; nothing
-          once the engine has closed the answer, and ``complete`` says whether
-          that was its proper end.
+          One or more events, each with the empty line that ends it. Empty
+          after the engine has closed the stream; ``complete`` then tells
+          whether the answer was complete.
 
         Raises:
-          failure.FailureError: the stream broke or carried an error; the events
-            before it were returned.
+          failure.FailureError: the stream broke or carried an error. Events
+            before it have been returned.
         """
         while not self._error:
             data = await self._read_data()
             if not data:
                 return b""
-            block = self._cut(data)
+            block = self._split_events(data)
             if block:
                 return block
         enginewire.parse_event(self._error)
         return b""
 
     async def read_events(self) -> AsyncGenerator[bytes, None]:
-        """Yields what ``read_block`` returns, up to the end."""
+        """Yields blocks until the stream ends, as ``read_block`` does."""
         while block := await self.read_block():
             yield block
 
-    def rest(self, pacer: readpacing.ReadPacer) -> None:
-        """Lets the connection rest after a block, unless it was the last."""
+    def pause_reading(self, pacer: readpacing.ReadPacer) -> None:
+        """Pauses reading after a block unless it was the last one."""
         connection = self._response.connection
         if self.complete or connection is None:
             return
         transport = connection.transport
         if transport is not None and not transport.is_closing():
-            pacer.rest(transport)
+            pacer.pause(transport)
 
     async def _read_data(self) -> bytes:
         try:
@@ -112,15 +113,15 @@
                 verdicts.Verdict.MAY_HAVE_RUN,
             ) from error
 
-    def _cut(self, data: bytes) -> bytes:
-        """Returns the whole events in new data and keeps the rest."""
-        if self._rest:
-            data = self._rest + data
-            self._rest = b""
+    def _split_events(self, data: bytes) -> bytes:
+        """Returns the whole events in the data; buffers a partial one."""
+        if self._partial:
+            data = self._partial + data
+            self._partial = b""
         if not data.endswith(enginewire.EVENT_END):
             cut = data.rfind(enginewire.EVENT_END)
             cut = cut + len(enginewire.EVENT_END) if cut >= 0 else 0
-            self._rest = data[cut:]
+            self._partial = data[cut:]
             data = data[:cut]
         start = data.find(enginewire.ERROR_EVENT_START)
         if start >= 0:
@@ -131,9 +132,9 @@
 
 
 class HttpEngineClient(engineclient.EngineClient):
-    """Talks to engines through one session of connections.
+    """Sends requests to engines through one HTTP session.
 
-    It sets no time limit but for connecting: the caller knows the deadline.
+    Only connecting has a timeout; the caller enforces the deadline.
     """
 
     __slots__ = ("_pacer", "_session", "_streaming", "_timers")
@@ -147,16 +148,16 @@
         """Creates a client.
 
         Args:
-          session: owned by the caller.
-          timers: timer service; None for that of the running loop.
-          streaming: how answers are read; None for token by token.
+          session: HTTP session, owned by the caller.
+          timers: timer service; None uses that of the running loop.
+          streaming: how answers are read; None reads token by token.
         """
         self._session = session
         self._timers = timers or timer_service.LoopTimers()
         self.set_streaming(streaming or StreamSettings())
 
     def set_streaming(self, streaming: StreamSettings) -> None:
-        """Sets how answers are read that begin from now on."""
+        """Sets how answers are read; applies to requests made from now on."""
         self._streaming = streaming
         self._pacer: readpacing.ReadPacer | None = None
         if streaming.batch_s:
@@ -174,7 +175,7 @@
                 for chunk in _read_chunks(reader, block):
                     yield chunk
                 if pacer is not None:
-                    answer.rest(pacer)
+                    answer.pause_reading(pacer)
 
     @contextlib.asynccontextmanager
     async def open_raw(
@@ -187,16 +188,16 @@
           attempt: what to run.
 
         Yields:
-          The answer, once its first bytes are there.
+          The answer, once the response headers have arrived.
 
         Raises:
-          failure.FailureError: the engine can't be reached or refused.
+          failure.FailureError: the engine is unreachable or refused.
         """
         body = enginewire.encode_attempt(attempt)
         async with self._request(
             "POST", address, "/v1/generate", body
         ) as response:
-            _shrink_reads(response)
+            _limit_read_size(response)
             yield RawAnswer(response)
 
     async def cancel(self, address: str, attempt_id: str) -> bool:
@@ -253,8 +254,8 @@
                 raise failures.FailureError(await _read_failure(response))
             yield response
         finally:
-            # An answer that wasn't read to its end takes its connection with
-            # it, which tells the engine that nobody reads any further.
+            # Closing the connection of an unfinished answer tells the engine to
+            # stop generating.
             if response.content.at_eof():
                 response.release()
             else:
@@ -284,10 +285,10 @@
             raise _make_broken_error(address, error) from error
 
 
-def _shrink_reads(response: aiohttp.ClientResponse) -> None:
-    """Lets the connection read less at a time than asyncio's 256 KiB.
+def _limit_read_size(response: aiohttp.ClientResponse) -> None:
+    """Lowers the read size of the connection from asyncio's 256 KiB.
 
-    Memory of that size is mapped and unmapped for each read of a few hundred
+    A buffer of that size is mapped and unmapped for each read of a few hundred
     bytes, which takes longer than the read itself.
     """
     transport = response.connection and response.connection.transport
--- a/rhubarblock/fleet/httpengine_test.py
+++ b/rhubarblock/fleet/httpengine_test.py
@@ -52,7 +52,7 @@
 
 
 def read_raw(handler):
-    """Returns the blocks read, whether they were complete, and the failure."""
+    """Returns the blocks, whether the answer was complete, and the failure."""
 
     async def main():
         blocks = []
@@ -69,7 +69,7 @@
     return asyncio.run(main())
 
 
-def test_raw_events_come_whole_and_unchanged():
+def test_raw_blocks_hold_whole_unchanged_events():
     handler = answer_in_pieces(
         TOKEN[:9], TOKEN[9:] + TOKEN + TOKEN[:-1], TOKEN[-1:] + DONE
     )
@@ -81,11 +81,11 @@
     assert (complete, failure) == (True, None)
 
 
-def test_a_raw_answer_without_its_end_is_not_complete():
+def test_raw_answer_without_end_mark_is_incomplete():
     assert read_raw(answer_in_pieces(TOKEN)) == ([TOKEN], False, None)
 
 
-def test_an_error_event_is_raised_after_the_events_before_it():
+def test_error_event_is_raised_after_preceding_events():
     blocks, complete, failure = read_raw(answer_in_pieces(TOKEN + ERROR))
 
     assert (blocks, complete) == ([TOKEN], False)
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_broken_stream_is_cut():
+def test_broken_stream_raises_stream_cut():
     blocks, complete, failure = read_raw(answer_in_pieces(TOKEN, abort=True))
 
     assert (blocks, complete) == ([TOKEN], False)
@@ -104,7 +104,7 @@
     assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
 
 
-def test_an_error_answer_gives_the_failure_in_it():
+def test_error_response_raises_the_failure_it_holds():
     async def handler(request):
         return web.Response(
             status=503,
@@ -119,7 +119,7 @@
     )
 
 
-def test_a_connection_that_breaks_after_the_body_may_have_run():
+def test_connection_lost_after_the_body_means_may_have_run():
     async def handler(request):
         await request.read()
         request.transport.abort()
@@ -130,7 +130,7 @@
     assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
 
 
-def test_a_refused_connection_is_not_run():
+def test_refused_connection_means_not_run():
     async def main():
         async with serve(answer_in_pieces()) as (client, address):
             pass
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b"[]", b"nonsense"])
-def test_an_answer_against_the_protocol_is_a_failure(body):
+def test_malformed_response_raises_a_failure(body):
     async def handler(request):
         return web.Response(body=body)
 
@@ -197,7 +197,7 @@
     asyncio.run(main())
 
 
-def test_an_event_against_the_protocol_cuts_the_stream():
+def test_malformed_event_raises_stream_cut():
     async def main():
         handler = answer_in_pieces(b"data: nonsense\n\n")
         async with serve(handler) as (client, address):
@@ -233,7 +233,7 @@
     return asyncio.run(main())
 
 
-def test_tokens_that_come_together_are_relayed_together():
+def test_tokens_received_together_are_joined():
     tokens = [FULL_TOKEN % (number, number) for number in range(3)]
     handler = answer_in_pieces(b"".join(tokens) + DONE)
     assert generate(handler, RELAYED) == (
@@ -242,7 +242,7 @@
     )
 
 
-def test_a_connection_at_rest_loses_nothing():
+def test_paused_connection_loses_no_tokens():
     tokens = [FULL_TOKEN % (number, number) for number in range(12)]
     chunks, failure = generate(answer_in_pieces(*tokens, DONE), RELAYED)
     text = "".join(f" {number:06d}" for number in range(12))
@@ -250,14 +250,14 @@
     assert "".join(chunk.text for chunk in chunks) == text
 
 
-def test_a_relayed_stream_that_breaks_gives_what_came_before():
+def test_broken_relayed_stream_yields_preceding_tokens():
     tokens = [FULL_TOKEN % (number, number) for number in range(2)]
     chunks, failure = generate(answer_in_pieces(*tokens, abort=True), RELAYED)
     assert "".join(chunk.text for chunk in chunks) == " 000000 000001"
     assert failure.code is failures.FailureCode.STREAM_CUT
 
 
-def test_an_error_after_relayed_tokens_is_raised():
+def test_error_after_relayed_tokens_is_raised():
     handler = answer_in_pieces(FULL_TOKEN % (0, 0) + ERROR)
     chunks, failure = generate(handler, RELAYED)
     assert [chunk.index for chunk in chunks] == [0]
--- a/rhubarblock/fleet/httpservice.py
+++ b/rhubarblock/fleet/httpservice.py
@@ -1,8 +1,7 @@
-"""Plain services over HTTP.
+"""HTTP client of plain services.
 
-Every error says whether the call may have run. Only what provably never
-reached the service, or what the service itself says it did not run, is
-NOT_RUN.
+Every error carries a verdict. It is NOT_RUN only if the call provably never
+reached the service, or if the service itself declares that it did not run.
 """
 
 import collections
@@ -24,8 +23,8 @@
 KEY_HEADER = "Idempotency-Key"
 
 CONNECT_TIMEOUT_S = 2.0
-# Largest answer that is passed on, in bytes.
-ANSWER_LIMIT = 8_000_000
+# Largest response body that is forwarded.
+MAX_ANSWER_BYTES = 8_000_000
 
 _Code = failures.FailureCode
 _Verdict = verdicts.Verdict
@@ -35,7 +34,7 @@
     """Sends calls over HTTP, each at most once.
 
     Attributes:
-      counters: calls by outcome.
+      counters: number of calls, and of crossed responses.
     """
 
     __slots__ = ("_require_echo", "_session", "_timers", "counters")
@@ -46,12 +45,12 @@
         timers: timer_service.Timers,
         require_echo: bool = True,
     ):
-        """Creates a client; the caller closes the session.
+        """Creates a client.
 
         Args:
-          session: HTTP session to use.
-          timers: clock.
-          require_echo: whether an answer without an attempt id is refused.
+          session: HTTP session, owned by the caller.
+          timers: timer service.
+          require_echo: whether a response without an attempt id is rejected.
         """
         self._session = session
         self._timers = timers
@@ -62,20 +61,20 @@
         self, address: str, call: requests.ServiceCall, attempt_id: str
     ) -> requests.ServiceAnswer:
         self.counters["calls"] += 1
-        left_s = call.deadline_s - self._timers.read_monotonic()
-        if left_s <= 0:
+        remaining_s = call.deadline_s - self._timers.read_monotonic()
+        if remaining_s <= 0:
             raise _make_error(
                 _Code.DEADLINE_EXCEEDED,
                 "the deadline passed before the call was sent",
                 _Verdict.NOT_RUN,
             )
         try:
-            return await self._exchange(address, call, attempt_id, left_s)
+            return await self._exchange(address, call, attempt_id, remaining_s)
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            # There was no connection, so nothing of the call was sent.
+            # Without a connection, nothing of the call was sent.
             raise _make_error(
                 _Code.ENDPOINT_FAILED, str(error), _Verdict.NOT_RUN
             ) from error
@@ -95,10 +94,10 @@
         address: str,
         call: requests.ServiceCall,
         attempt_id: str,
-        left_s: float,
+        remaining_s: float,
     ) -> requests.ServiceAnswer:
         timeout = aiohttp.ClientTimeout(
-            total=left_s, sock_connect=min(left_s, CONNECT_TIMEOUT_S)
+            total=remaining_s, sock_connect=min(remaining_s, CONNECT_TIMEOUT_S)
         )
         async with self._session.request(
             call.method,
@@ -153,7 +152,7 @@
     async for part in response.content.iter_any():
         parts.append(part)
         size += len(part)
-        if size > ANSWER_LIMIT:
+        if size > MAX_ANSWER_BYTES:
             raise _make_error(
                 _Code.ENDPOINT_FAILED,
                 "the answer is too large",
--- a/rhubarblock/fleet/lease.py
+++ b/rhubarblock/fleet/lease.py
@@ -1,11 +1,12 @@
-"""A lease in the platform that lets one instance at a time give orders.
-
-The holder renews the lease by conditional updates and counts its end from
-before each update was sent, by its own monotonic clock and with a margin. A
-contender counts from when it saw the lease change last. So the holder stops
-before another one can begin, unless it is paused in between; against that
-helps only the fencing number, which rises with each new holder. It is made of
-the position of the update by which the lease was taken.
+"""Lease in the platform store that lets one instance at a time give orders.
+
+The holder renews the lease by conditional writes. It computes the expiry from
+the time before each write was sent, by its own monotonic clock and less a
+safety margin. A contender waits the full duration from when it last saw the
+lease change. So the holder stops before another instance can start, unless it
+is paused between its check and its act. The fencing number covers that case:
+it increases with each new holder and is the position of the write by which the
+lease was acquired.
 """
 
 import dataclasses
@@ -26,8 +27,8 @@
     """Times in seconds.
 
     Attributes:
-      duration_s: time after which a lease that does not change can be taken.
-      margin_s: time before that at which the holder itself stops.
+      duration_s: time after which an unchanged lease can be taken over.
+      margin_s: time before expiry at which the holder itself stops.
       renew_s: time between two renewals.
     """
 
@@ -38,12 +39,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Content:
-    """What the object holds.
+    """Content of the stored lease object.
 
     Attributes:
-      holder: instance that holds the lease; empty when it was released.
-      nonce: differs in each update, to tell updates apart.
-      fence: fencing number; 0 in the update that takes the lease.
+      holder: instance that holds the lease; empty after a release.
+      nonce: random text that identifies each write.
+      fence: fencing number; 0 in the write that acquires the lease.
     """
 
     holder: str
@@ -55,19 +56,22 @@
     """Returns the fencing number of a holder.
 
     Args:
-      position: position of the update by which the lease was taken.
+      position: position of the write by which the lease was acquired.
 
     Raises:
-      ValueError: the store counts eras; engines compare whole numbers, and a
-        revision alone does not rise from one era to the next.
+      ValueError: the position has an era. Engines compare fencing numbers as
+        integers, and a revision alone need not increase from one era to the
+        next.
     """
     if position.era:
-        raise ValueError(f"no fencing number tells of era {position.era}")
+        raise ValueError(
+            f"no fencing number for a position of era {position.era}"
+        )
     return position.revision
 
 
 class Lease:
-    """One lease as one instance sees it."""
+    """One lease, from the point of view of one instance."""
 
     def __init__(
         self,
@@ -85,7 +89,7 @@
           timers: the timer service.
           rng: makes the nonces.
           name: name of the lease, e.g. ``orders/osu-hall/rhubarb-pool``.
-          holder: this instance and its incarnation.
+          holder: id and incarnation of this instance.
           settings: times.
         """
         self._store = store
@@ -96,13 +100,13 @@
         self._settings = settings or LeaseSettings()
         self._fence = 0
         self._version = positions.NOWHERE
-        self._until_s = float("-inf")
-        self._seen_version: positions.Position | None = None
-        self._seen_s = float("-inf")
+        self._valid_until_s = float("-inf")
+        self._observed_version: positions.Position | None = None
+        self._observed_s = float("-inf")
 
     @property
     def fence(self) -> int:
-        """The fencing number; it means nothing unless the lease is held."""
+        """The fencing number; meaningless unless the lease is held."""
         return self._fence
 
     @property
@@ -111,46 +115,46 @@
         return self._settings.renew_s
 
     def is_held(self) -> bool:
-        """Says whether this instance may act now.
+        """Returns whether this instance may act as the holder now.
 
-        It has to be asked right before each act, after every wait.
+        Callers must check this again after every wait, right before they act.
         """
-        return self._timers.read_monotonic() < self._until_s
+        return self._timers.read_monotonic() < self._valid_until_s
 
-    async def pursue(self) -> bool:
-        """Renews the lease, or takes it when that is due.
+    async def renew_or_acquire(self) -> bool:
+        """Renews a held lease, or acquires one that is free or expired.
 
         Returns:
-          Whether it is held. Errors of the platform are passed over: the lease
-          then runs out.
+          Whether it is held. Platform errors are ignored: without a successful
+          renewal the lease expires.
         """
         try:
             if self.is_held():
                 await self._renew()
             else:
-                self._until_s = float("-inf")
-                await self._take()
+                self._valid_until_s = float("-inf")
+                await self._acquire()
         except stores.StoreError:
-            # The next call finds out whether an update took effect.
+            # The next call determines whether a write took effect.
             pass
         return self.is_held()
 
     def abandon(self) -> None:
-        """Acts no more under this fencing number, as a later one was seen."""
-        self._until_s = float("-inf")
+        """Gives up the lease locally, because a later holder was seen."""
+        self._valid_until_s = float("-inf")
 
     async def release(self) -> None:
-        """Gives the lease up, so that another one need not wait for its end."""
+        """Releases the lease, so that a contender need not wait for expiry."""
         if not self.is_held():
             return
-        self._until_s = float("-inf")
+        self._valid_until_s = float("-inf")
         released = _Content("", self._make_nonce(), self._fence)
         try:
             await self._store.write(
                 self._object, _encode(released), self._version
             )
         except stores.StoreError:
-            # It runs out by itself.
+            # The lease expires by itself.
             pass
 
     async def _renew(self) -> None:
@@ -162,53 +166,53 @@
             )
         except stores.StoreError as error:
             if error.kind is _Kind.CONFLICT:
-                await self._look_again()
+                await self._check_holder()
             elif error.kind is _Kind.UNSURE:
-                await self._resolve(content, started_s)
+                await self._check_written(content, started_s)
             return
         self._version = written.version
         self._extend(started_s)
 
-    async def _look_again(self) -> None:
-        """Finds out after a conflict whether another one took the lease."""
+    async def _check_holder(self) -> None:
+        """Checks after a conflict whether another instance took the lease."""
         stored = await self._store.read(self._object)
         content = _decode(stored.value)
         if content.holder == self._holder and content.fence == self._fence:
-            # An earlier update of ours took effect after all.
+            # An earlier unconfirmed write of this instance caused the conflict.
             self._version = stored.version
         else:
-            self._until_s = float("-inf")
+            self._valid_until_s = float("-inf")
 
-    async def _resolve(self, content: _Content, started_s: float) -> None:
-        """Finds out whether an unanswered update took effect."""
+    async def _check_written(self, content: _Content, started_s: float) -> None:
+        """Checks whether a write without a response took effect."""
         stored = await self._store.read(self._object)
         if stored.value == _encode(content):
             self._version = stored.version
             self._extend(started_s)
 
-    async def _take(self) -> None:
+    async def _acquire(self) -> None:
         version, content = await self._read()
         now_s = self._timers.read_monotonic()
-        if version != self._seen_version:
-            self._seen_version = version
-            self._seen_s = now_s
-        # A lease of its own that ran out it may take anew: the version shows
-        # that nobody else had it in between.
+        if version != self._observed_version:
+            self._observed_version = version
+            self._observed_s = now_s
+        # An expired lease of its own can be acquired again at once: the
+        # conditional write fails if another instance held it in between.
         is_free = content is None or content.holder in ("", self._holder)
-        is_over = now_s - self._seen_s >= self._settings.duration_s
-        if not (is_free or is_over):
+        is_expired = now_s - self._observed_s >= self._settings.duration_s
+        if not (is_free or is_expired):
             return
-        taking = _Content(self._holder, self._make_nonce(), 0)
+        acquired = _Content(self._holder, self._make_nonce(), 0)
         started_s = self._timers.read_monotonic()
         try:
             written = await self._store.write(
-                self._object, _encode(taking), version
+                self._object, _encode(acquired), version
             )
         except stores.StoreError as error:
             if error.kind is not _Kind.UNSURE:
                 raise
             written = await self._store.read(self._object)
-            if written.value != _encode(taking):
+            if written.value != _encode(acquired):
                 return
         self._version = written.version
         self._fence = make_fence(written.version)
@@ -225,7 +229,9 @@
 
     def _extend(self, started_s: float) -> None:
         settings = self._settings
-        self._until_s = started_s + settings.duration_s - settings.margin_s
+        self._valid_until_s = (
+            started_s + settings.duration_s - settings.margin_s
+        )
 
     def _make_nonce(self) -> str:
         return f"{self._rng.getrandbits(64):016x}"
--- a/rhubarblock/fleet/listrelay.py
+++ b/rhubarblock/fleet/listrelay.py
@@ -1,9 +1,9 @@
-"""Reads the platform's list of instances once for a whole data centre.
+"""Shares the platform's list of instances within a data centre.
 
-Two instances read it from the platform, the others from one of those two, so
-that the platform's share of reads does not grow with the number of entry
-instances. The two tell the others when the list changed, and a list that did
-not change is not sent again.
+Two readers fetch the list from the platform and all other instances fetch it
+from a reader, so that the platform's read load does not grow with the number
+of entry instances. Readers notify the others when the list changes, and an
+unchanged list is not sent again.
 """
 
 import asyncio
@@ -26,17 +26,17 @@
 FETCH_KIND = "instances.fetch"
 NOTICE_KIND = "instances.notice"
 
-# Instances of a data centre that read the platform.
+# Instances of a data centre that read the list from the platform.
 READERS = 2
 _CALL_TIMEOUT_S = 0.5
-# Age in seconds up to which a reader gives the last list again.
-_READER_AGE_S = 0.9
-# The same for the others, which are told of changes meanwhile.
-_OTHER_AGE_S = 10.0
+# Age in seconds up to which a reader returns its cached list.
+_READER_MAX_AGE_S = 0.9
+# The same for other instances, which are notified of changes.
+_OTHER_MAX_AGE_S = 10.0
 
 
 class ListRelay(instances.InstanceSource):
-    """The list, from the platform or from a peer that reads it."""
+    """Source of the list, from the platform or through a reader."""
 
     __slots__ = (
         "_source",
@@ -47,7 +47,7 @@
         "_listed",
         "_content",
         "_digest",
-        "_read_s",
+        "_refreshed_s",
         "_tasks",
     )
 
@@ -64,7 +64,7 @@
         Args:
           source: the platform's list.
           membership: the instances that share it.
-          transport: calls to peers.
+          transport: carries calls to peers.
           timers: the timer service.
           rng: chooses between the readers.
         """
@@ -76,45 +76,45 @@
         self._listed: list[instances.ListedInstance] = []
         self._content = b""
         self._digest = 0
-        self._read_s = float("-inf")
+        self._refreshed_s = float("-inf")
         self._tasks: set[asyncio.Task[None]] = set()
-        transport.register(NOTICE_KIND, self._answer_notice)
-        transport.register(FETCH_KIND, self._answer_fetch)
+        transport.register(NOTICE_KIND, self._handle_notice)
+        transport.register(FETCH_KIND, self._handle_fetch)
 
     async def fetch_instances(self) -> list[instances.ListedInstance]:
         readers = self._choose_readers()
         own_id = self._membership.own.instance_id
         if any(reader.instance_id == own_id for reader in readers):
-            if self._is_older(_READER_AGE_S):
+            if self._is_older(_READER_MAX_AGE_S):
                 await self._read_as_reader()
             return list(self._listed)
-        if self._is_older(_OTHER_AGE_S):
-            await self._read_peers(readers)
+        if self._is_older(_OTHER_MAX_AGE_S):
+            await self._fetch_from_readers(readers)
         return list(self._listed)
 
     async def _read_as_reader(self) -> None:
-        """Reads the platform; an instance without any list asks the others."""
+        """Reads the platform; without any list, falls back to peers."""
         try:
             await self._read_platform()
         except stores.StoreError:
-            if self._digest or not await self._ask_anyone():
+            if self._digest or not await self._fetch_from_any_peer():
                 raise
 
-    async def _ask_anyone(self) -> bool:
+    async def _fetch_from_any_peer(self) -> bool:
         own_id = self._membership.own.instance_id
         for member in self._membership.live_instances():
-            if member.instance_id != own_id and await self._ask(member):
+            if member.instance_id != own_id and await self._fetch_from(member):
                 return bool(self._listed)
         return False
 
     def _is_older(self, age_s: float) -> bool:
-        return self._timers.read_monotonic() - self._read_s >= age_s
+        return self._timers.read_monotonic() - self._refreshed_s >= age_s
 
-    async def _read_peers(self, readers: list[members.Member]) -> None:
-        """Asks the readers, and the platform if none of them answers."""
+    async def _fetch_from_readers(self, readers: list[members.Member]) -> None:
+        """Fetches from a reader, or from the platform if none answers."""
         self._rng.shuffle(readers)
         for reader in readers:
-            if await self._ask(reader):
+            if await self._fetch_from(reader):
                 return
         await self._read_platform()
 
@@ -129,17 +129,17 @@
     async def _read_platform(self) -> None:
         listed = await self._source.fetch_instances()
         if self._digest and listed == self._listed:
-            self._read_s = self._timers.read_monotonic()
+            self._refreshed_s = self._timers.read_monotonic()
             return
         lines = b"\n".join(map(instances.encode_instance, listed))
-        if self._keep(listed, lines):
-            self._tell_others()
+        if self._store_list(listed, lines):
+            self._notify_peers()
 
-    def _keep(
+    def _store_list(
         self, listed: list[instances.ListedInstance], lines: bytes
     ) -> bool:
-        """Takes a list; returns whether it is another one."""
-        self._read_s = self._timers.read_monotonic()
+        """Stores a list; returns whether it differs from the last one."""
+        self._refreshed_s = self._timers.read_monotonic()
         digest = membertable.hash_bytes(lines)
         if digest == self._digest:
             return False
@@ -148,42 +148,42 @@
         self._digest = digest
         return True
 
-    def _tell_others(self) -> None:
+    def _notify_peers(self) -> None:
         own = self._membership.own
         notice = listrelay_pb2.ListRequest(digest=self._digest)
         payload = notice.SerializeToString()
         for member in self._membership.live_instances(own.data_centre):
             if member.instance_id == own.instance_id:
                 continue
-            task = asyncio.ensure_future(self._tell(member, payload))
+            task = asyncio.ensure_future(self._notify(member, payload))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _tell(self, receiver: members.Member, payload: bytes) -> None:
-        # One that misses it asks by itself before long.
+    async def _notify(self, receiver: members.Member, payload: bytes) -> None:
+        # A peer that misses the notice refreshes its list by age.
         with contextlib.suppress(peertransport.PeerError):
             await self._transport.call(
                 receiver.address, NOTICE_KIND, payload, _CALL_TIMEOUT_S
             )
 
-    async def _answer_notice(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_notice(self, sender: str, payload: bytes) -> bytes:
         notice = listrelay_pb2.ListRequest.FromString(payload)
         if notice.digest != self._digest:
-            self._read_s = float("-inf")
+            self._refreshed_s = float("-inf")
         return b""
 
-    async def _ask(self, reader: members.Member) -> bool:
-        """Asks a reader; returns whether it answered."""
+    async def _fetch_from(self, peer: members.Member) -> bool:
+        """Fetches the list from a peer; returns whether that succeeded."""
         request = listrelay_pb2.ListRequest(digest=self._digest)
         try:
             payload = await self._transport.call(
-                reader.address,
+                peer.address,
                 FETCH_KIND,
                 request.SerializeToString(),
                 _CALL_TIMEOUT_S,
             )
             answer = listrelay_pb2.ListAnswer.FromString(payload)
-            self._take(answer)
+            self._apply_answer(answer)
         except (
             peertransport.PeerError,
             protobuf_message.DecodeError,
@@ -193,19 +193,20 @@
             return False
         return True
 
-    def _take(self, answer: listrelay_pb2.ListAnswer) -> None:
+    def _apply_answer(self, answer: listrelay_pb2.ListAnswer) -> None:
         if answer.digest == self._digest:
-            self._read_s = self._timers.read_monotonic()
+            self._refreshed_s = self._timers.read_monotonic()
             return
         lines = zlib.decompress(answer.content)
         listed = list(map(instances.decode_instance, lines.splitlines()))
-        self._keep(listed, lines)
+        self._store_list(listed, lines)
 
-    async def _answer_fetch(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_fetch(self, sender: str, payload: bytes) -> bytes:
         request = listrelay_pb2.ListRequest.FromString(payload)
-        if self._is_older(_READER_AGE_S):
-            # Not passed on from another peer, whoever that takes for a reader;
-            # an old list serves better than none while the platform is down.
+        if self._is_older(_READER_MAX_AGE_S):
+            # Read from the platform and never from another peer, even if the
+            # views of who is a reader differ. During a platform outage an old
+            # list is better than none.
             try:
                 await self._read_platform()
             except stores.StoreError:
--- a/rhubarblock/fleet/listrelay_test.py
+++ b/rhubarblock/fleet/listrelay_test.py
@@ -11,8 +11,8 @@
 )
 
 
-class Bench:
-    """Instances that read the list through relays."""
+class Harness:
+    """Instances that fetch the list through relays."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -30,70 +30,71 @@
             )
         )
 
-    async def read_all(self):
-        """Returns how often the engine is in what the instances read."""
+    async def count_found(self):
+        """Returns the number of instances whose list has the engine."""
         found = 0
         for relay in self.relays:
             found += ENGINE in await relay.fetch_instances()
         return found
 
 
-def run(scene):
+def run(scenario):
     async def main():
         async with memoryfleet.open_fleet() as fleet:
-            bench = Bench(fleet)
+            harness = Harness(fleet)
             for number in range(6):
-                await bench.start(f"i{number}")
+                await harness.start(f"i{number}")
             await fleet.timers.sleep(20.0)
-            return await scene(bench)
+            return await scenario(harness)
 
     return virtualloop.run(main())
 
 
-def test_two_instances_read_the_platform_for_all():
-    async def scene(bench):
-        counters = bench.fleet.platform.counters
+def test_only_the_readers_read_the_platform():
+    async def scenario(harness):
+        counters = harness.fleet.platform.counters
         before = counters["instances"]
         for _ in range(10):
-            await bench.read_all()
-            await bench.fleet.timers.sleep(1.0)
-        # Membership of six instances reads it every ten seconds, too.
+            await harness.count_found()
+            await harness.fleet.timers.sleep(1.0)
+        # The membership of each of the six instances also reads the list, every
+        # ten seconds.
         return counters["instances"] - before <= 2 * 10 + 6 * 2
 
-    assert run(scene)
+    assert run(scenario)
 
 
-def test_change_of_the_list_reaches_all():
-    async def scene(bench):
-        bench.fleet.listing.put(ENGINE)
-        counts = [await bench.read_all()]
+def test_list_change_reaches_all_instances():
+    async def scenario(harness):
+        harness.fleet.listing.put(ENGINE)
+        counts = [await harness.count_found()]
         # The list lags by five seconds, and each relay by one.
         for _ in range(8):
-            await bench.fleet.timers.sleep(1.0)
-            counts.append(await bench.read_all())
+            await harness.fleet.timers.sleep(1.0)
+            counts.append(await harness.count_found())
         return counts[0], counts[-1]
 
-    assert run(scene) == (0, 6)
+    assert run(scenario) == (0, 6)
 
 
-def test_platform_that_is_down_is_an_error_for_all():
-    async def scene(bench):
-        bench.fleet.platform.faults.start_outage()
+def test_platform_outage_without_a_list_raises_at_every_instance():
+    async def scenario(harness):
+        harness.fleet.platform.faults.start_outage()
         errors = 0
-        for relay in bench.relays:
+        for relay in harness.relays:
             with pytest.raises(stores.StoreError):
                 await relay.fetch_instances()
             errors += 1
         return errors
 
-    assert run(scene) == 6
+    assert run(scenario) == 6
 
 
-def test_without_readers_an_instance_reads_itself():
-    async def scene(bench):
-        bench.fleet.listing.put(ENGINE)
-        await bench.fleet.timers.sleep(6.0)
-        bench.fleet.network.loss = 1.0
-        return await bench.read_all()
+def test_instances_read_the_platform_when_readers_are_unreachable():
+    async def scenario(harness):
+        harness.fleet.listing.put(ENGINE)
+        await harness.fleet.timers.sleep(6.0)
+        harness.fleet.network.loss = 1.0
+        return await harness.count_found()
 
-    assert run(scene) == 6
+    assert run(scenario) == 6
--- a/rhubarblock/fleet/membership/__init__.py
+++ b/rhubarblock/fleet/membership/__init__.py
@@ -1,6 +1,5 @@
-"""Which entry instances live.
+"""Membership: which entry instances are alive.
 
-Others use ``membership``, or ``view`` where reading is enough. Read on in
-``member`` and ``table`` (what is known), ``probing`` and ``detection`` (how a
-lost instance is noticed).
+Other packages use ``membership``, or ``view`` for read access. ``member`` and
+``table`` hold the records; ``probing`` and ``detection`` detect failures.
 """
--- a/rhubarblock/fleet/membership/detection.py
+++ b/rhubarblock/fleet/membership/detection.py
@@ -1,9 +1,9 @@
-"""Finds out that an instance of the own data centre does not answer.
+"""Failure detector for instances of the own data centre.
 
-A probe that is not answered raises a suspicion. The suspect is then probed
-again and again, directly and through others, until the window of suspicion
-ends. The window is longer than the pauses that are to be survived, and many
-tries in it survive lost messages.
+An unanswered probe makes an instance a suspect. It is then probed repeatedly,
+directly and through helpers, until the suspicion window ends. The window is
+longer than the pauses that must not count as a death, and repeated probes
+tolerate lost messages.
 """
 
 import asyncio
@@ -25,20 +25,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DetectionSettings:
-    """Times in seconds, and numbers, of the failure detector.
+    """Times in seconds, and counts, of the failure detector.
 
-    ``probe_timeout_s`` and ``confirm_s`` together are the window of suspicion.
+    The suspicion window is the sum of ``probe_timeout_s`` and ``confirm_s``.
 
     Attributes:
       period_s: time between two probes of one subject.
-      probe_timeout_s: time after which an unanswered probe raises suspicion.
-      confirm_s: time that a suspect then has to answer.
-      retry_s: time between two tries within it.
-      indirect_probes: instances that are asked to probe the suspect.
-      isolated_s: further time if none of those answers either, as then the
-        fault may lie on this side.
-      stall_s: delay beyond a timeout that shows that this instance itself
-        was paused.
+      probe_timeout_s: time after which an unanswered probe makes its subject a
+        suspect.
+      confirm_s: time that a suspect has to answer before it counts as dead.
+      retry_s: time between two rounds of probes to a suspect.
+      indirect_probes: helpers asked to probe the suspect in each round.
+      isolated_s: additional time if no helper answers either, since the fault
+        may then be on the side of this instance.
+      stall_s: delay of a timer beyond its due time that shows that this
+        instance itself was paused.
     """
 
     period_s: float = 0.8
@@ -51,7 +52,7 @@
 
 
 class FailureDetector:
-    """Probes single instances for ``fleet.membership``."""
+    """Probes single instances on behalf of ``fleet.membership``."""
 
     __slots__ = (
         "_view",
@@ -59,7 +60,7 @@
         "_timers",
         "_rng",
         "_settings",
-        "_take",
+        "_on_heartbeat",
     )
 
     def __init__(
@@ -69,34 +70,34 @@
         timers: timers_lib.Timers,
         rng: random.Random,
         settings: DetectionSettings,
-        take: Callable[[membership_pb2.Heartbeat], None],
+        on_heartbeat: Callable[[membership_pb2.Heartbeat], None],
     ):
-        """Creates the detector and answers the probes of others.
+        """Creates the detector and registers the handler of indirect probes.
 
         Args:
-          view: what this instance knows.
-          transport: calls to peers.
+          view: the membership view of this instance.
+          transport: carries calls to peers.
           timers: the timer service.
-          rng: draws the instances that are asked for help.
-          settings: times and numbers.
-          take: gets each heartbeat that arrives as an answer.
+          rng: chooses the helpers of indirect probes.
+          settings: times and counts.
+          on_heartbeat: called with each heartbeat received as a response.
         """
         self._view = view
         self._transport = transport
         self._timers = timers
         self._rng = rng
         self._settings = settings
-        self._take = take
-        transport.register(PROBE_KIND, self._answer_probe)
+        self._on_heartbeat = on_heartbeat
+        transport.register(PROBE_KIND, self._handle_probe)
 
     async def is_alive(self, subject: members.Member) -> bool:
-        """Probes an instance until it answers or the window ends.
+        """Probes an instance until it answers or the suspicion window ends.
 
         Args:
           subject: an instance of this data centre.
 
         Returns:
-          Whether it gave a sign of life.
+          Whether the instance answered, or contacted this instance itself.
         """
         settings = self._settings
         started_s = self._timers.read_monotonic()
@@ -105,23 +106,23 @@
             return True
         self._view.counters.suspicions += 1
         evidence = _Evidence(subject, started_s)
-        if await self._search(evidence, settings.confirm_s):
+        if await self._confirm(evidence, settings.confirm_s):
             return True
         if evidence.helpers_answered or not self._list_helpers(subject):
             return False
-        return await self._search(evidence, settings.isolated_s)
+        return await self._confirm(evidence, settings.isolated_s)
 
     async def send_heartbeat(
         self, subject: members.Member, timeout_s: float
     ) -> bool:
-        """Sends a heartbeat and takes in the answer.
+        """Sends a heartbeat and merges the response.
 
         Args:
           subject: the receiver.
-          timeout_s: seconds to wait.
+          timeout_s: timeout of the call in seconds.
 
         Returns:
-          Whether it answered.
+          Whether the subject itself answered.
         """
         heartbeat = self._view.build_heartbeat(subject.instance_id)
         try:
@@ -137,39 +138,40 @@
         except protobuf_message.DecodeError:
             self._view.counters.bad_messages += 1
             return False
-        self._take(answer)
+        self._on_heartbeat(answer)
         # Another instance may have taken over the address.
         return answer.sender.instance_id == subject.instance_id
 
-    async def _search(self, evidence: "_Evidence", duration_s: float) -> bool:
-        """Looks for a sign of life; returns whether there was one."""
+    async def _confirm(self, evidence: "_Evidence", duration_s: float) -> bool:
+        """Probes a suspect for some seconds; returns whether it is alive."""
         settings = self._settings
-        tries: set[asyncio.Task[None]] = set()
+        probes: set[asyncio.Task[None]] = set()
         end_s = self._timers.read_monotonic() + duration_s
         try:
             while (now_s := self._timers.read_monotonic()) < end_s:
-                tries |= self._start_tries(evidence, end_s - now_s)
+                probes |= self._start_probes(evidence, end_s - now_s)
                 await self._timers.sleep(settings.retry_s)
-                if self._is_refuted(evidence):
+                if self._has_answered(evidence):
                     return True
                 woken_s = self._timers.read_monotonic()
                 if woken_s - now_s > settings.retry_s + settings.stall_s:
-                    # This instance was paused: the silence proves nothing.
+                    # This instance was paused, so the missing responses prove
+                    # nothing; the window starts again.
                     self._view.counters.stalls += 1
                     end_s = woken_s + duration_s
         finally:
-            for task in tries:
+            for task in probes:
                 task.cancel()
         return False
 
-    def _start_tries(
+    def _start_probes(
         self, evidence: "_Evidence", timeout_s: float
     ) -> set[asyncio.Task[None]]:
         helpers = self._list_helpers(evidence.subject)
         count = min(self._settings.indirect_probes, len(helpers))
-        tasks = [self._try_direct(evidence, timeout_s)]
+        tasks = [self._probe_directly(evidence, timeout_s)]
         for helper in self._rng.sample(helpers, count):
-            tasks.append(self._try_through(helper, evidence, timeout_s))
+            tasks.append(self._probe_through(helper, evidence, timeout_s))
         return {asyncio.ensure_future(task) for task in tasks}
 
     def _list_helpers(self, subject: members.Member) -> list[members.Member]:
@@ -179,17 +181,17 @@
             if member.instance_id != subject.instance_id
         ]
 
-    def _is_refuted(self, evidence: "_Evidence") -> bool:
-        heard_s = self._view.read_heard(evidence.subject.instance_id)
-        return evidence.alive or heard_s >= evidence.started_s
+    def _has_answered(self, evidence: "_Evidence") -> bool:
+        last_heard_s = self._view.get_last_heard(evidence.subject.instance_id)
+        return evidence.alive or last_heard_s >= evidence.started_s
 
-    async def _try_direct(
+    async def _probe_directly(
         self, evidence: "_Evidence", timeout_s: float
     ) -> None:
         if await self.send_heartbeat(evidence.subject, timeout_s):
             evidence.alive = True
 
-    async def _try_through(
+    async def _probe_through(
         self,
         helper: members.Member,
         evidence: "_Evidence",
@@ -212,8 +214,8 @@
         evidence.helpers_answered += 1
         evidence.alive = evidence.alive or answer.alive
 
-    async def _answer_probe(self, sender: str, payload: bytes) -> bytes:
-        """Probes an instance for another one that suspects it."""
+    async def _handle_probe(self, sender: str, payload: bytes) -> bytes:
+        """Handles an indirect probe on behalf of another instance."""
         request = membership_pb2.ProbeRequest.FromString(payload)
         subject = members.Member(
             request.instance_id, self._view.own.data_centre, request.address
@@ -225,13 +227,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Evidence:
-    """What a search has found.
+    """Result of probing a suspect so far.
 
     Attributes:
-      subject: the instance under suspicion.
+      subject: the suspect.
       started_s: when its first unanswered probe was sent.
-      alive: whether it answered, here or to a helper.
-      helpers_answered: answers from helpers, whatever they say.
+      alive: whether it answered this instance or a helper.
+      helpers_answered: number of responses from helpers, whatever the result.
     """
 
     subject: members.Member
--- a/rhubarblock/fleet/membership/member.py
+++ b/rhubarblock/fleet/membership/member.py
@@ -1,4 +1,4 @@
-"""One entry instance as the others know it."""
+"""Membership record of one entry instance."""
 
 import dataclasses
 import enum
@@ -7,25 +7,26 @@
 
 
 class MemberState(enum.Enum):
-    """What is known of an instance; later ones go before earlier ones."""
+    """Liveness of an instance; at equal incarnation the higher value wins."""
 
     ALIVE = membership_pb2.ALIVE
-    LEFT = membership_pb2.LEFT  # It said so itself before a planned stop.
-    DEAD = membership_pb2.DEAD  # Others found that it does not answer.
+    LEFT = membership_pb2.LEFT  # Announced by the instance before it stops.
+    DEAD = membership_pb2.DEAD  # Declared by a peer after unanswered probes.
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Member:
-    """One entry instance.
+    """Membership record of one entry instance.
 
     Attributes:
-      instance_id: unique name; a replacement has another one.
+      instance_id: unique name; a replacement instance gets a new one.
       data_centre: data centre in which it runs.
       address: ``host:port`` for calls from peers.
-      incarnation: rises with each start, and whenever it refutes its death.
-      state: what is known of it.
-      revision: catalogue revision that it had in force when it last spoke to
-        this instance; it may be older than the one in force by now.
+      incarnation: increases with each start and whenever the instance refutes a
+        report of its own death.
+      state: its liveness.
+      revision: catalogue revision in force there when it last contacted this
+        instance; it may be older than the current one.
     """
 
     instance_id: str
@@ -36,22 +37,22 @@
     revision: int = 0
 
     def supersedes(self, other: "Member") -> bool:
-        """Says whether this is later knowledge of the same instance."""
-        return self._order() > other._order()
+        """Returns whether this record is newer than another of the instance."""
+        return self._precedence() > other._precedence()
 
-    def differs_in_life(self, other: "Member") -> bool:
-        """Says whether state or incarnation are not the same."""
+    def differs_in_liveness(self, other: "Member") -> bool:
+        """Returns whether state or incarnation differ."""
         return (self.state, self.incarnation) != (
             other.state,
             other.incarnation,
         )
 
-    def _order(self) -> tuple[int, int, int]:
+    def _precedence(self) -> tuple[int, int, int]:
         return self.incarnation, self.state.value, self.revision
 
 
 def encode_member(member: Member) -> membership_pb2.MemberRecord:
-    """Returns the message that stands for a member."""
+    """Returns the protobuf message of a member."""
     return membership_pb2.MemberRecord(
         instance_id=member.instance_id,
         data_centre=member.data_centre,
@@ -63,7 +64,7 @@
 
 
 def decode_member(record: membership_pb2.MemberRecord) -> Member:
-    """Returns the member that a message stands for."""
+    """Returns the member in a protobuf message."""
     return Member(
         instance_id=record.instance_id,
         data_centre=record.data_centre,
--- a/rhubarblock/fleet/membership/membership.py
+++ b/rhubarblock/fleet/membership/membership.py
@@ -1,10 +1,10 @@
-"""Which entry instances live, by the platform's list and by heartbeats.
+"""Membership protocol: platform list, heartbeats and failure detection.
 
-Each instance probes a few others of its data centre in every period, and
-tells a death that it finds to all of them at once. Across data centres only a
-few representatives talk. Other news travel with the heartbeats, and tables
-that differ are repaired. All of it is soft state: a wrong view costs time and
-never a promise.
+In each period, every instance probes a few others of its data centre and
+broadcasts a death that it detects to all of them at once. Between data centres
+only a few representatives exchange heartbeats. Other updates are piggybacked on
+heartbeats (gossip), and an anti-entropy sync repairs tables that differ. All of
+it is soft state: a wrong view causes delay but never breaks a guarantee.
 """
 
 import asyncio
@@ -30,30 +30,32 @@
 from rhubarblock.store import store
 
 SYNC_KIND = "membership.sync"
-NEWS_KIND = "membership.news"
+UPDATE_KIND = "membership.news"
 
-# Listed but unknown instances to contact in one refresh of the list.
-_CONTACTS = 3
-# News of a death is sent to each peer this many times if it is not confirmed.
-_NEWS_TRIES = 2
-# Spreads the probes of one period, so that the interval stays bounded.
-_SPREAD = 0.1
+# Most listed but unknown instances contacted per refresh of the list.
+_CONTACTS_PER_REFRESH = 3
+# Attempts to send a broadcast update to a peer that does not confirm it.
+_UPDATE_ATTEMPTS = 2
+# Each probe starts within this fraction of the period, so that probes are
+# spread but the interval between two of them stays bounded.
+_PROBE_JITTER = 0.1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MembershipSettings:
-    """Times in seconds, and numbers.
+    """Times in seconds, and counts.
 
     Attributes:
-      detector: those of the failure detector.
-      call_timeout_s: time to wait for an answer to other calls.
-      remote_period_s: time between two calls to another data centre.
-      remote_failures: failed calls in a row after which a data centre counts
+      detector: settings of the failure detector.
+      call_timeout_s: timeout of all other calls.
+      remote_period_s: time between two heartbeats to another data centre.
+      remote_failures: consecutive failed calls after which a data centre counts
         as unreachable.
-      sync_interval_s: least time between two comparisons of tables.
+      sync_interval_s: minimum time between two syncs of tables.
       list_interval_s: time between two reads of the platform's list.
-      join_interval_s: the same while no listed peer has answered yet.
-      forget_s: time after which an instance that is gone is forgotten.
+      join_interval_s: the same until the first peer is known.
+      forget_s: time after which the record of an instance that is gone is
+        removed.
     """
 
     detector: detection.DetectionSettings = dataclasses.field(
@@ -69,7 +71,7 @@
 
 
 class Membership(memberview.MemberView):
-    """The view that one instance has of all, kept up by calls to peers."""
+    """A member view that is kept up to date by calls to peers."""
 
     def __init__(
         self,
@@ -86,16 +88,16 @@
 
         Args:
           own: this instance; its incarnation must be higher than that of any
-            earlier start under the same id, such as the wall clock in
+            earlier start under the same id, e.g. the wall clock in
             milliseconds.
-          transport: calls to peers.
+          transport: carries calls to peers.
           source: the platform's list of instances.
           timers: the timer service.
-          rng: spreads what instances would else do at the same moment.
-          settings: times and numbers.
-          plan: choice of the instances to probe.
-          seeds: addresses to ask beside the listed ones while no peer is known,
-            which help when the platform is down.
+          rng: adds jitter and chooses peers.
+          settings: times and counts.
+          plan: chooses the instances to probe.
+          seeds: addresses to contact in addition to the listed ones while no
+            peer is known, so that joining works while the platform is down.
         """
         super().__init__(own, timers)
         self._transport = transport
@@ -115,21 +117,21 @@
             timers,
             rng,
             self._settings.detector,
-            self._take_answer,
+            self._handle_heartbeat_response,
         )
-        transport.register(detection.HEARTBEAT_KIND, self._answer_heartbeat)
-        transport.register(SYNC_KIND, self._answer_sync)
-        transport.register(NEWS_KIND, self._answer_news)
+        transport.register(detection.HEARTBEAT_KIND, self._handle_heartbeat)
+        transport.register(SYNC_KIND, self._handle_sync)
+        transport.register(UPDATE_KIND, self._handle_update)
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator["Membership"]:
-        """Joins the others and follows them while the context is open.
+        """Joins the fleet and maintains the view while the context is open.
 
         Yields:
-          This membership, once it asked listed instances for their view.
+          This membership, after it contacted listed instances.
         """
         await self._join()
-        await self._spread_news()
+        await self._broadcast_update()
         settings = self._settings
         ticks = (
             (settings.detector.period_s, self._probe_subjects),
@@ -145,13 +147,13 @@
             yield self
 
     async def leave(self) -> None:
-        """Tells the others that this instance stops, before it does."""
-        self.change_own(state=members.MemberState.LEFT)
-        await self._spread_news()
+        """Announces a planned stop of this instance to its peers."""
+        self.update_own(state=members.MemberState.LEFT)
+        await self._broadcast_update()
         for data_centre in self.list_remote_data_centres():
-            await self._send_news(self.choose_representatives(data_centre))
+            await self._send_update(self.choose_representatives(data_centre))
 
-    # The own data centre.
+    # Own data centre.
 
     async def _probe_subjects(self) -> None:
         if self.own.state is not members.MemberState.ALIVE:
@@ -166,7 +168,9 @@
         self._probing.add(subject.instance_id)
         try:
             period_s = self._settings.detector.period_s
-            await self._timers.sleep(self._rng.random() * _SPREAD * period_s)
+            await self._timers.sleep(
+                self._rng.random() * _PROBE_JITTER * period_s
+            )
             alive = await self._detector.is_alive(subject)
         finally:
             self._probing.discard(subject.instance_id)
@@ -179,28 +183,29 @@
             return
         self.declare_dead(known)
         self.counters.deaths_found += 1
-        await self._spread_news()
-        # The ring closed over the dead one: what lay behind it is due now.
+        await self._broadcast_update()
+        # Without the dead member the ring assigns new probe targets; probe them
+        # now instead of waiting for the next period.
         await self._probe_subjects()
 
-    async def _spread_news(self) -> None:
-        """Tells the latest news to the whole data centre at once."""
-        await self._send_news(self.list_peers())
+    async def _broadcast_update(self) -> None:
+        """Sends the latest updates to the whole data centre at once."""
+        await self._send_update(self.list_peers())
 
-    async def _send_news(self, receivers: Iterable[members.Member]) -> None:
+    async def _send_update(self, receivers: Iterable[members.Member]) -> None:
         payload = self.build_heartbeat().SerializeToString()
         await asyncio.gather(
-            *(self._send_news_to(receiver, payload) for receiver in receivers)
+            *(self._send_update_to(receiver, payload) for receiver in receivers)
         )
 
-    async def _send_news_to(
+    async def _send_update_to(
         self, receiver: members.Member, payload: bytes
     ) -> None:
-        for _ in range(_NEWS_TRIES):
+        for _ in range(_UPDATE_ATTEMPTS):
             try:
                 await self._transport.call(
                     receiver.address,
-                    NEWS_KIND,
+                    UPDATE_KIND,
                     payload,
                     self._settings.call_timeout_s,
                 )
@@ -232,15 +237,15 @@
         self._remote_failures[data_centre] = 0 if answered else failures
         reachable = answered or failures < self._settings.remote_failures
         if self.set_reachable(data_centre, reachable):
-            await self._spread_news()
+            await self._broadcast_update()
 
     def _choose_contacts(self, data_centre: str) -> list[members.Member]:
-        """Returns a representative and, in case it is gone, any instance."""
+        """Returns a representative and, as a fallback, any instance."""
         representatives = self.choose_representatives(data_centre)
         contacts = self._rng.sample(representatives, len(representatives))
         return contacts[:1] + [self._rng.choice(self.list_alive(data_centre))]
 
-    # The platform's list.
+    # Platform list.
 
     async def _refresh_list(self) -> None:
         try:
@@ -256,7 +261,7 @@
         await self._contact_listed()
 
     async def _join(self) -> None:
-        """Asks again while no peer is known."""
+        """Contacts listed instances and seeds while no peer is known."""
         if self.list_peers():
             return
         await self._refresh_list()
@@ -265,10 +270,11 @@
             await asyncio.gather(*seeds)
 
     async def _contact_listed(self) -> None:
-        """Makes the acquaintance of listed instances that are unknown.
+        """Contacts listed instances that are unknown or counted as dead.
 
-        Those that count as dead here are told so, and then prove that they
-        live: after a partition nobody else would.
+        The heartbeat to an instance that counts as dead carries that record,
+        which the instance then refutes. After a partition there is no other
+        way back, since dead instances are not probed.
         """
         own = self.own.data_centre
         listed = [
@@ -281,7 +287,10 @@
             entry for entry in listed if self.find(entry.instance_id) is None
         ]
         dead = [entry for entry in listed if self._is_dead(entry.instance_id)]
-        chosen = self._rng.sample(unknown, min(_CONTACTS, len(unknown))) + dead
+        chosen = (
+            self._rng.sample(unknown, min(_CONTACTS_PER_REFRESH, len(unknown)))
+            + dead
+        )
         await asyncio.gather(
             *(
                 self._contact(entry.address, entry.instance_id)
@@ -294,7 +303,7 @@
         return known is not None and known.state is members.MemberState.DEAD
 
     async def _contact(self, address: str, instance_id: str = "") -> None:
-        """Exchanges tables with whatever instance answers at an address."""
+        """Exchanges tables with the instance at an address, whatever its id."""
         if address == self.own.address:
             return
         timeout_s = self._settings.call_timeout_s
@@ -306,7 +315,7 @@
         before_s = self._timers.read_monotonic() - self._settings.forget_s
         self.forget_gone(set(self._listed), before_s)
 
-    # Repair of tables that differ.
+    # Anti-entropy sync.
 
     async def _sync(self, address: str) -> None:
         self._synced_s = self._timers.read_monotonic()
@@ -325,37 +334,39 @@
             return
         self.merge(map(members.decode_member, answer.members))
 
-    async def _answer_sync(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_sync(self, sender: str, payload: bytes) -> bytes:
         request = membership_pb2.SyncRequest.FromString(payload)
         differing = self.table.list_differing(request.parts)
         records = map(members.encode_member, differing)
         return membership_pb2.SyncAnswer(members=records).SerializeToString()
 
-    # Messages of peers.
+    # Incoming messages.
 
-    def _take_answer(self, heartbeat: membership_pb2.Heartbeat) -> None:
-        self._take(heartbeat)
+    def _handle_heartbeat_response(
+        self, heartbeat: membership_pb2.Heartbeat
+    ) -> None:
+        self._merge_received(heartbeat)
         now_s = self._timers.read_monotonic()
         due = now_s - self._synced_s >= self._settings.sync_interval_s
         if due and heartbeat.digest != self.table.read_digest():
             self._start(self._sync(heartbeat.sender.address))
 
-    def _take(self, heartbeat: membership_pb2.Heartbeat) -> None:
+    def _merge_received(self, heartbeat: membership_pb2.Heartbeat) -> None:
         incarnation = self.own.incarnation
-        news = self.take_heartbeat(heartbeat)
+        changed = self.merge_heartbeat(heartbeat)
         own = self.own.data_centre
         is_remote = heartbeat.sender.data_centre != own
-        # What comes from outside, and that this instance lives after all,
-        # nobody else tells the data centre.
-        if (news and is_remote) or self.own.incarnation != incarnation:
-            self._start(self._spread_news())
+        # Updates from another data centre and this instance's own refutation
+        # are known to no other instance of this data centre yet.
+        if (changed and is_remote) or self.own.incarnation != incarnation:
+            self._start(self._broadcast_update())
 
-    async def _answer_heartbeat(self, sender: str, payload: bytes) -> bytes:
-        self._take(membership_pb2.Heartbeat.FromString(payload))
+    async def _handle_heartbeat(self, sender: str, payload: bytes) -> bytes:
+        self._merge_received(membership_pb2.Heartbeat.FromString(payload))
         return self.build_heartbeat(sender).SerializeToString()
 
-    async def _answer_news(self, sender: str, payload: bytes) -> bytes:
-        self._take(membership_pb2.Heartbeat.FromString(payload))
+    async def _handle_update(self, sender: str, payload: bytes) -> bytes:
+        self._merge_received(membership_pb2.Heartbeat.FromString(payload))
         return b""
 
     # Tasks.
