--- a/rhubarblock/fleet/membership/membership_test.py
+++ b/rhubarblock/fleet/membership/membership_test.py
@@ -10,13 +10,13 @@
 SETTLE_S = 20.0
 
 
-def see(node, data_centre=None):
-    """Returns the ids that an instance takes for live, in order."""
+def list_live(node, data_centre=None):
+    """Returns the sorted ids of the instances that a node counts as live."""
     live = node.membership.live_instances(data_centre)
     return sorted(member.instance_id for member in live)
 
 
-def count(nodes, counter):
+def total(nodes, counter):
     return sum(getattr(node.membership.counters, counter) for node in nodes)
 
 
@@ -29,17 +29,17 @@
         await fleet.timers.sleep(0.05)
 
 
-def test_instances_find_each_other_by_the_lagging_list():
+def test_instances_join_through_lagging_platform_list():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(3, "a")
             await fleet.timers.sleep(SETTLE_S)
-            return [see(node) for node in nodes]
+            return [list_live(node) for node in nodes]
 
     assert virtualloop.run(main()) == [["a-0", "a-1", "a-2"]] * 3
 
 
-def test_instances_find_each_other_by_seeds_while_the_platform_is_down():
+def test_instances_join_through_seeds_during_platform_outage():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             fleet.platform.faults.start_outage()
@@ -47,27 +47,28 @@
             second = fleet.create("a-1", "a", seeds=[first.address])
             await second.stack.enter_async_context(second.membership.run())
             await fleet.timers.sleep(1.0)
-            return see(first), see(second)
+            return list_live(first), list_live(second)
 
     assert virtualloop.run(main()) == (["a-0", "a-1"], ["a-0", "a-1"])
 
 
 @pytest.mark.parametrize("size", [2, 6, 41])
-def test_death_is_known_to_the_data_centre_in_three_seconds(size):
+def test_death_is_known_to_data_centre_within_three_seconds(size):
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(size, "a")
             await fleet.timers.sleep(SETTLE_S)
             dead = nodes.pop(1)
             await fleet.kill(dead)
-            # Of two, the one left cannot ask a third whose fault it is.
+            # In a fleet of two, no helper can confirm the death, which is
+            # declared without one.
             await fleet.timers.sleep(3.0)
-            return {dead.instance_id in see(node) for node in nodes}
+            return {dead.instance_id in list_live(node) for node in nodes}
 
     assert virtualloop.run(main()) == {False}
 
 
-def test_rack_that_dies_is_known():
+def test_death_of_a_rack_is_detected():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(20, "a")
@@ -75,14 +76,14 @@
             for node in nodes[:8]:
                 await fleet.kill(node)
             await fleet.timers.sleep(9.0)
-            return {tuple(see(node)) for node in nodes[8:]}
+            return {tuple(list_live(node)) for node in nodes[8:]}
 
     live = tuple(sorted(f"a-{number}" for number in range(8, 20)))
     assert virtualloop.run(main()) == {live}
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.1])
-def test_pause_under_a_second_is_no_death(loss):
+def test_pause_under_a_second_is_not_declared_a_death(loss):
     async def main():
         async with memoryfleet.open_fleet(loss=loss) as fleet:
             nodes = await fleet.start_many(12, "a")
@@ -92,22 +93,22 @@
                 await fleet.timers.sleep(0.95)
                 fleet.network.resume(node.address)
                 await fleet.timers.sleep(0.3)
-            return count(nodes, "deaths_found"), count(nodes, "suspicions") > 0
+            return total(nodes, "deaths_found"), total(nodes, "suspicions") > 0
 
     assert virtualloop.run(main()) == (0, True)
 
 
-def test_lost_packets_are_no_death():
+def test_lost_packets_cause_no_false_death():
     async def main():
         async with memoryfleet.open_fleet(loss=0.1) as fleet:
             nodes = await fleet.start_many(8, "a")
             await fleet.timers.sleep(120.0)
-            return count(nodes, "deaths_found"), count(nodes, "suspicions") > 0
+            return total(nodes, "deaths_found"), total(nodes, "suspicions") > 0
 
     assert virtualloop.run(main()) == (0, True)
 
 
-def test_long_pause_is_a_death_that_is_refuted():
+def test_long_pause_is_declared_a_death_and_refuted():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(6, "a")
@@ -116,18 +117,20 @@
             before = paused.membership.own.incarnation
             fleet.network.pause(paused.address)
             await fleet.timers.sleep(10.0)
-            during = {"a-2" in see(node) for node in nodes if node != paused}
+            during = {
+                "a-2" in list_live(node) for node in nodes if node != paused
+            }
             fleet.network.resume(paused.address)
             await fleet.timers.sleep(SETTLE_S)
-            after = {"a-2" in see(node) for node in nodes}
+            after = {"a-2" in list_live(node) for node in nodes}
             raised = paused.membership.own.incarnation > before
-            # The paused one has no right to declare the others dead.
-            return during, after, raised, count([paused], "deaths_found")
+            # The paused instance must not declare the others dead.
+            return during, after, raised, total([paused], "deaths_found")
 
     assert virtualloop.run(main()) == ({False}, {True}, True, 0)
 
 
-def test_leaving_is_known_at_once():
+def test_planned_stop_is_known_at_once():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(6, "a")
@@ -135,10 +138,10 @@
             await fleet.timers.sleep(SETTLE_S)
             await nodes[0].membership.leave()
             await fleet.timers.sleep(0.1)
-            views = {"a-0" in see(node) for node in nodes[1:]}
+            views = {"a-0" in list_live(node) for node in nodes[1:]}
             state = nodes[1].membership.find("a-0").state
             await fleet.timers.sleep(5.0)
-            return views, state, {"a-0" in see(node) for node in remote}
+            return views, state, {"a-0" in list_live(node) for node in remote}
 
     assert virtualloop.run(main()) == (
         {False},
@@ -147,7 +150,7 @@
     )
 
 
-def test_restart_under_the_same_id_is_seen():
+def test_restart_under_same_id_replaces_the_record():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(4, "a")
@@ -157,12 +160,12 @@
             again = await fleet.start("a-0", "a")
             await fleet.timers.sleep(1.0)
             known = nodes[1].membership.find("a-0")
-            return known == again.membership.own, see(again)
+            return known == again.membership.own, list_live(again)
 
     assert virtualloop.run(main()) == (True, ["a-0", "a-1", "a-2", "a-3"])
 
 
-def test_instance_cut_off_from_its_data_centre_comes_back():
+def test_partitioned_instance_rejoins_its_data_centre():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(6, "a")
@@ -170,41 +173,41 @@
             alone, rest = nodes[0], nodes[1:]
             fleet.network.cut([alone.address], [node.address for node in rest])
             await fleet.timers.sleep(SETTLE_S)
-            cut = see(alone), {len(see(node)) for node in rest}
+            cut = list_live(alone), {len(list_live(node)) for node in rest}
             fleet.network.heal()
             await fleet.timers.sleep(SETTLE_S)
-            return cut, {len(see(node)) for node in nodes}
+            return cut, {len(list_live(node)) for node in nodes}
 
     assert virtualloop.run(main()) == ((["a-0"], {5}), {6})
 
 
-def test_data_centres_cut_off_from_each_other_and_joined():
+def test_data_centres_rejoin_after_partition():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             near = await fleet.start_many(4, "a")
             far = await fleet.start_many(4, "b")
             await fleet.timers.sleep(SETTLE_S)
-            counts = [{len(see(node)) for node in near + far}]
+            counts = [{len(list_live(node)) for node in near + far}]
             fleet.network.cut(
                 [node.address for node in near],
                 [node.address for node in far],
             )
             await fleet.timers.sleep(SETTLE_S)
-            counts.append({len(see(node)) for node in near + far})
+            counts.append({len(list_live(node)) for node in near + far})
             reachable = {node.membership.is_reachable("b") for node in near}
-            deaths = count(near + far, "deaths_found")
-            # What happens in the meantime is known after the cut.
+            deaths = total(near + far, "deaths_found")
+            # A death during the partition must be known after it.
             await fleet.kill(far[0])
             await fleet.timers.sleep(SETTLE_S)
             fleet.network.heal()
             await fleet.timers.sleep(SETTLE_S)
-            counts.append({len(see(node)) for node in near})
+            counts.append({len(list_live(node)) for node in near})
             return counts, reachable, deaths
 
     assert virtualloop.run(main()) == ([{8}, {4}, {7}], {False}, 0)
 
 
-def test_revision_is_heard_from_each_instance_itself():
+def test_revision_is_announced_by_each_instance_itself():
     async def main():
         async with memoryfleet.open_fleet(loss=0.05) as fleet:
             nodes = await fleet.start_many(5, "a")
@@ -223,23 +226,23 @@
     assert virtualloop.run(main()) == {(10, 11, 12, 13, 14)}
 
 
-def test_soft_state_travels_with_heartbeats():
+def test_soft_state_is_piggybacked_on_heartbeats():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(2, "a")
-            heard = []
+            received = []
             with contextlib.ExitStack() as stack:
                 stack.enter_context(
                     nodes[1].membership.soft.subscribe(
                         "limits",
-                        lambda sender, content: heard.append(
+                        lambda sender, content: received.append(
                             (sender.instance_id, content)
                         ),
                     )
                 )
                 nodes[0].membership.soft.set("limits", b"7")
                 await fleet.timers.sleep(SETTLE_S)
-            return set(heard)
+            return set(received)
 
     assert virtualloop.run(main()) == {("a-0", b"7")}
 
@@ -250,7 +253,7 @@
             membership = fleet.create("a-0", "a").membership
             with pytest.raises(ValueError, match="too large"):
                 membership.soft.set("x", b"x" * 65)
-            for number in range(softstate.LIMIT_COUNT):
+            for number in range(softstate.MAX_SUBSYSTEMS):
                 membership.soft.set(f"s{number}", b"x")
             membership.soft.set("s0", b"y")
             with pytest.raises(ValueError, match="too many"):
@@ -259,23 +262,23 @@
     virtualloop.run(main())
 
 
-def test_subscriber_hears_of_changes_while_subscribed():
+def test_subscriber_is_notified_while_subscribed():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             node = await fleet.start("a-0", "a")
-            heard = []
-            with node.membership.subscribe(heard.append):
+            received = []
+            with node.membership.subscribe(received.append):
                 other = await fleet.start("a-1", "a")
                 await fleet.timers.sleep(SETTLE_S)
                 await other.membership.leave()
             other.membership.set_revision(5)
             await fleet.timers.sleep(SETTLE_S)
-            return [(item.instance_id, item.state.name) for item in heard]
+            return [(item.instance_id, item.state.name) for item in received]
 
     assert virtualloop.run(main()) == [("a-1", "ALIVE"), ("a-1", "LEFT")]
 
 
-def test_instance_that_is_gone_and_unlisted_is_forgotten():
+def test_dead_unlisted_instance_is_forgotten():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(3, "a")
@@ -290,7 +293,7 @@
     assert virtualloop.run(main()) == (True, None)
 
 
-def test_steady_cost_stays_within_two_kilobytes_a_second():
+def test_steady_traffic_stays_under_two_kilobytes_per_second():
     async def main():
         async with memoryfleet.open_fleet() as fleet:
             nodes = await fleet.start_many(41, "a")
--- a/rhubarblock/fleet/membership/probing.py
+++ b/rhubarblock/fleet/membership/probing.py
@@ -1,7 +1,7 @@
-"""Which instances an instance probes.
+"""Strategies for choosing the instances to probe.
 
-The choice decides how soon a death is seen and what it costs: see
-docs/design/membership.md, where the two ways here are measured.
+The choice determines how soon a death is detected and what detection costs:
+docs/design/membership.md compares the two strategies.
 """
 
 import abc
@@ -14,7 +14,7 @@
 
 
 class ProbePlan(abc.ABC):
-    """Chooses the instances to probe in one period."""
+    """Strategy for choosing the instances to probe in one period."""
 
     @abc.abstractmethod
     def choose_subjects(
@@ -23,16 +23,16 @@
         """Returns the instances to probe in this period.
 
         Args:
-          own_id: the instance that probes.
-          candidates: live instances of its data centre, itself included.
+          own_id: id of the probing instance.
+          candidates: live instances of its data centre, including itself.
         """
 
 
 class RingPlan(ProbePlan):
-    """Probes the next instances of a ring that all see alike.
+    """Probes the successors on a ring that all instances compute alike.
 
-    Each instance is probed by a fixed number of others in every period, so
-    that the time until a death is seen has a bound.
+    Each instance is probed by a fixed number of others in every period, which
+    bounds the time until a death is detected.
     """
 
     __slots__ = ("_successors", "_randoms", "_rng")
@@ -42,9 +42,9 @@
 
         Args:
           successors: instances to probe along the ring.
-          randoms: further instances drawn at random, which carry news across
-            the ring.
-          rng: draws them.
+          randoms: additional instances chosen at random, which spread updates
+            across the ring.
+          rng: chooses the random ones.
         """
         self._successors = successors
         self._randoms = randoms
@@ -53,7 +53,7 @@
     def choose_subjects(
         self, own_id: str, candidates: list[members.Member]
     ) -> list[members.Member]:
-        ring = sorted(candidates, key=_order_ring)
+        ring = sorted(candidates, key=_ring_position)
         ids = [member.instance_id for member in ring]
         if own_id not in ids:
             return []
@@ -65,7 +65,7 @@
 
 
 class RandomPlan(ProbePlan):
-    """Probes all instances in an order drawn anew for each round (SWIM)."""
+    """Probes all instances in an order shuffled for each round (SWIM)."""
 
     __slots__ = ("_per_period", "_queue", "_rng")
 
@@ -74,7 +74,7 @@
 
         Args:
           per_period: instances to probe in each period.
-          rng: draws the order.
+          rng: shuffles the order.
         """
         self._per_period = per_period
         self._queue: list[str] = []
@@ -100,6 +100,6 @@
         return list(chosen.values())
 
 
-def _order_ring(member: members.Member) -> tuple[int, str]:
+def _ring_position(member: members.Member) -> tuple[int, str]:
     score = rendezvous.compute_score(_RING_KEY, member.instance_id)
     return score, member.instance_id
--- a/rhubarblock/fleet/membership/probing_test.py
+++ b/rhubarblock/fleet/membership/probing_test.py
@@ -11,7 +11,7 @@
 
 
 def count_subjects(make_plan):
-    """Returns by whom each instance is probed in one period."""
+    """Returns how often each instance is probed in one period."""
     counts = collections.Counter()
     for number, member in enumerate(EVERYONE):
         plan = make_plan(random.Random(number))
@@ -21,13 +21,13 @@
     return counts
 
 
-def test_ring_probes_each_instance_as_often():
+def test_ring_probes_every_instance_equally_often():
     counts = count_subjects(lambda rng: probing.RingPlan(2, 0, rng))
     assert set(counts.values()) == {2}
     assert len(counts) == 9
 
 
-def test_ring_adds_instances_drawn_at_random():
+def test_ring_adds_random_instances():
     plan = probing.RingPlan(2, 1, random.Random(1))
     drawn = [plan.choose_subjects("i0", EVERYONE) for _ in range(40)]
     assert {len(subjects) for subjects in drawn} == {3}
@@ -41,7 +41,7 @@
     assert plan.choose_subjects("other", EVERYONE) == []
 
 
-def test_random_plan_comes_to_each_instance_once_a_round():
+def test_random_plan_probes_each_instance_once_per_round():
     plan = probing.RandomPlan(2, random.Random(1))
     drawn = [
         subject.instance_id
--- a/rhubarblock/fleet/membership/table.py
+++ b/rhubarblock/fleet/membership/table.py
@@ -1,8 +1,8 @@
-"""The table of entry instances that one of them keeps, and its news.
+"""Table of member records and the updates waiting to be gossiped.
 
 Records are merged by incarnation, state and revision, so that the order in
-which news arrives does not matter. Each change is passed on a few times with
-the heartbeats; tables that still differ are found by their digests.
+which updates arrive does not matter. Each change is piggybacked on a limited
+number of heartbeats; digests detect tables that still differ.
 """
 
 from collections.abc import Iterable
@@ -12,28 +12,28 @@
 
 from rhubarblock.fleet.membership import member as members
 
-# Parts of the table that are compared and repaired on their own.
+# Number of parts of the table that are compared and synced separately.
 PARTS = 16
-# Times that a piece of news is sent, as a multiple of the logarithm of the
-# number of members: what epidemic spreading needs, with room for losses.
-_SENDS_PER_LOG = 3
+# An update is sent this many times the binary logarithm of the number of
+# members, which epidemic dissemination needs, with a margin for lost messages.
+_RETRANSMIT_FACTOR = 3
 _DIGEST_BYTES = 8
 
 
 @dataclasses.dataclass(slots=True)
-class _News:
+class _PendingUpdate:
     member: members.Member
     sends_left: int
 
 
 class MemberTable:
-    """What one instance knows of all instances."""
+    """The member records known to one instance, by instance id."""
 
-    __slots__ = ("_members", "_news", "_digests", "_digest")
+    __slots__ = ("_members", "_pending", "_digests", "_digest")
 
     def __init__(self) -> None:
         self._members: dict[str, members.Member] = {}
-        self._news: dict[str, _News] = {}
+        self._pending: dict[str, _PendingUpdate] = {}
         self._digests = [0] * PARTS
         self._digest: int | None = None
 
@@ -41,64 +41,67 @@
         return len(self._members)
 
     def find(self, instance_id: str) -> members.Member | None:
-        """Returns what is known of an instance, or None."""
+        """Returns the record of an instance, or None if it is unknown."""
         return self._members.get(instance_id)
 
     def list_members(self) -> list[members.Member]:
-        """Returns every instance known, alive or not."""
+        """Returns the record of every known instance, alive or not."""
         return list(self._members.values())
 
     def merge(self, member: members.Member) -> members.Member | None:
-        """Takes in a record if it is later knowledge.
+        """Stores a record if it supersedes the known one.
 
         Args:
-          member: the record, own or from a peer.
+          member: the record, of this instance or from a peer.
 
         Returns:
-          The record that it took the place of, the record itself when the
-          instance was not known before, or None when nothing changed.
+          The record that it replaced, the record itself if the instance was
+          unknown before, or None if nothing changed.
         """
         before = self._members.get(member.instance_id)
         if before is not None and not member.supersedes(before):
             return None
         self._members[member.instance_id] = member
-        if before is not None and not member.differs_in_life(before):
-            # The revision is heard from the instance itself, as it would
-            # otherwise be news of every instance with each change.
+        if before is not None and not member.differs_in_liveness(before):
+            # Revisions are not gossiped: each new revision would cause an
+            # update for every instance. Each instance reports its own revision
+            # in its heartbeats.
             return before
         if before is not None:
             self._toggle_digest(before)
         self._toggle_digest(member)
-        self._news[member.instance_id] = _News(member, self._count_sends())
+        self._pending[member.instance_id] = _PendingUpdate(
+            member, self._count_sends()
+        )
         return before or member
 
     def forget(self, instance_id: str) -> None:
-        """Drops an instance that is gone for good."""
+        """Removes the record of an instance that is gone for good."""
         member = self._members.pop(instance_id, None)
         if member is not None:
             self._toggle_digest(member)
-        self._news.pop(instance_id, None)
+        self._pending.pop(instance_id, None)
 
-    def take_news(self, limit: int) -> list[members.Member]:
-        """Returns the records to send along with a message.
+    def take_updates(self, limit: int) -> list[members.Member]:
+        """Returns updates to piggyback on a message and counts them as sent.
 
         Args:
-          limit: most records to return.
+          limit: maximum number of records.
 
         Returns:
-          Those that were sent least often first.
+          The records with the most sends left, in that order.
         """
-        if not self._news:
+        if not self._pending:
             return []
-        waiting = sorted(self._news.values(), key=_order_news)[:limit]
-        for news in waiting:
-            news.sends_left -= 1
-            if news.sends_left <= 0:
-                del self._news[news.member.instance_id]
-        return [news.member for news in waiting]
+        waiting = sorted(self._pending.values(), key=_send_order)[:limit]
+        for update in waiting:
+            update.sends_left -= 1
+            if update.sends_left <= 0:
+                del self._pending[update.member.instance_id]
+        return [update.member for update in waiting]
 
     def read_digest(self) -> int:
-        """Returns a digest of the whole table."""
+        """Returns the digest of the whole table."""
         if self._digest is None:
             self._digest = hash_bytes(repr(self._digests).encode())
         return self._digest
@@ -108,7 +111,7 @@
         return list(self._digests)
 
     def list_differing(self, digests: Iterable[int]) -> list[members.Member]:
-        """Returns the records of the parts whose digest is another one."""
+        """Returns the records in the parts whose digests differ."""
         differing = {
             part
             for part, digest in enumerate(digests)
@@ -126,11 +129,11 @@
         self._digests[_find_part(member)] ^= hash_bytes(text.encode())
 
     def _count_sends(self) -> int:
-        return math.ceil(_SENDS_PER_LOG * math.log2(len(self._members) + 1))
+        return math.ceil(_RETRANSMIT_FACTOR * math.log2(len(self._members) + 1))
 
 
 def hash_bytes(content: bytes) -> int:
-    """Returns a digest of 64 bits that is the same on every instance."""
+    """Returns a 64-bit hash that is the same in every process."""
     digest = hashlib.blake2b(content, digest_size=_DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big")
 
@@ -139,5 +142,5 @@
     return hash_bytes(member.instance_id.encode()) % PARTS
 
 
-def _order_news(news: _News) -> tuple[int, str]:
-    return -news.sends_left, news.member.instance_id
+def _send_order(update: _PendingUpdate) -> tuple[int, str]:
+    return -update.sends_left, update.member.instance_id
--- a/rhubarblock/fleet/membership/table_test.py
+++ b/rhubarblock/fleet/membership/table_test.py
@@ -14,7 +14,7 @@
     return dataclasses.replace(FIRST, **fields)
 
 
-def test_order_of_arrival_does_not_matter():
+def test_merge_is_independent_of_arrival_order():
     records = [
         FIRST,
         change(revision=4),
@@ -32,7 +32,7 @@
     assert found.pop()[0] == change(incarnation=2, state=LEFT)
 
 
-def test_merge_says_what_it_replaced():
+def test_merge_returns_the_replaced_record():
     table = membertable.MemberTable()
     assert table.merge(FIRST) == FIRST
     assert table.merge(FIRST) is None
@@ -40,30 +40,30 @@
     assert table.merge(change(revision=9)) is None
 
 
-def test_news_is_passed_on_a_few_times():
+def test_update_is_sent_a_limited_number_of_times():
     table = membertable.MemberTable()
     table.merge(FIRST)
-    sent = [table.take_news(8) for _ in range(5)]
+    sent = [table.take_updates(8) for _ in range(5)]
     assert sent == [[FIRST], [FIRST], [FIRST], [], []]
 
 
-def test_news_that_was_sent_least_goes_first():
+def test_least_sent_update_goes_first():
     table = membertable.MemberTable()
     table.merge(FIRST)
-    table.take_news(1)
+    table.take_updates(1)
     other = members.Member("i2", "a", "10.0.0.2:1")
     table.merge(other)
-    assert table.take_news(1) == [other]
+    assert table.take_updates(1) == [other]
 
 
-def test_revision_is_no_news_and_not_in_the_digest():
+def test_revision_is_neither_gossiped_nor_in_the_digest():
     table = membertable.MemberTable()
     table.merge(FIRST)
     digest = table.read_digest()
-    while table.take_news(8):
+    while table.take_updates(8):
         pass
     table.merge(change(revision=3))
-    assert table.take_news(8) == []
+    assert table.take_updates(8) == []
     assert table.read_digest() == digest
     assert table.find("i1").revision == 3
 
@@ -83,11 +83,11 @@
     assert len(differing) < 12
 
 
-def test_forgotten_member_leaves_no_trace():
+def test_forgotten_member_leaves_no_digest_and_no_update():
     table = membertable.MemberTable()
     empty = table.read_digest()
     table.merge(FIRST)
     table.forget("i1")
     assert table.read_digest() == empty
-    assert table.take_news(8) == []
+    assert table.take_updates(8) == []
     assert len(table) == 0
--- a/rhubarblock/fleet/membership/view.py
+++ b/rhubarblock/fleet/membership/view.py
@@ -1,7 +1,7 @@
-"""What one instance knows of the others, without any call to them.
+"""One instance's view of the membership, without network calls.
 
-It merges the records that arrive, tells subscribers what changed, and builds
-and reads the heartbeats. ``fleet.membership`` sends them.
+The view merges incoming records, notifies subscribers of changes, and builds
+and parses heartbeats. ``fleet.membership`` sends them.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from rhubarblock.kernel import logs
 from rhubarblock.kernel import timers as timers_lib
 
-# Instances of a data centre that talk to other data centres.
+# Instances of a data centre that exchange heartbeats with other data centres.
 REPRESENTATIVES = 2
 _REPRESENTATIVES_KEY = "membership/representatives"
-# Records sent along with one heartbeat.
-_NEWS_LIMIT = 8
+# Most updates piggybacked on one heartbeat.
+_UPDATES_PER_HEARTBEAT = 8
 
 ChangeCallback = Callable[[members.Member], None]
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class MembershipCounters:
-    """What membership counted since its start."""
+    """Counters of the membership protocol since start."""
 
     probes: int = 0
     suspicions: int = 0
@@ -46,11 +46,11 @@
 
 
 class MemberView:
-    """The view that one instance has of all instances.
+    """One instance's view of all instances.
 
     Attributes:
-      soft: soft state that travels with the heartbeats.
-      counters: what it counted.
+      soft: soft state piggybacked on heartbeats.
+      counters: protocol counters.
     """
 
     def __init__(self, own: members.Member, timers: timers_lib.Timers):
@@ -58,7 +58,7 @@
 
         Args:
           own: this instance; its incarnation must be higher than that of any
-            earlier start under the same id, such as the wall clock in
+            earlier start under the same id, e.g. the wall clock in
             milliseconds.
           timers: the timer service.
         """
@@ -66,42 +66,43 @@
         self._timers = timers
         self._table = membertable.MemberTable()
         self._table.merge(own)
-        self._heard_s: dict[str, float] = {}
-        self._changed_s: dict[str, float] = {}
+        self._last_heard_s: dict[str, float] = {}
+        self._last_changed_s: dict[str, float] = {}
         self._callbacks: list[ChangeCallback] = []
         self._reachability = reachability.Reachability(own.instance_id)
-        # Answers to frequent questions, until a record or report changes.
-        self._live: dict[str | None, list[members.Member]] = {}
-        self._representatives: dict[str, list[members.Member]] = {}
-        self._cut_off: frozenset[str] | None = None
+        # Cached results of frequent queries, cleared when a record or a
+        # reachability report changes.
+        self._live_cache: dict[str | None, list[members.Member]] = {}
+        self._representatives_cache: dict[str, list[members.Member]] = {}
+        self._unreachable_cache: frozenset[str] | None = None
         self.soft = softstate.SoftState()
         self.counters = MembershipCounters()
 
     @property
     def own(self) -> members.Member:
-        """This instance as it tells the others."""
+        """The record that this instance announces of itself."""
         return self._own
 
     @property
     def table(self) -> membertable.MemberTable:
-        """The records."""
+        """The table of member records."""
         return self._table
 
     def live_instances(
         self, data_centre: str | None = None
     ) -> list[members.Member]:
-        """Returns the instances that live and can be reached.
+        """Returns the instances that are alive and reachable.
 
         Args:
-          data_centre: only those of one data centre; None means all.
+          data_centre: limits the result to one data centre; None means all.
 
         Returns:
-          The instances, this one included, in no order.
+          The instances including this one, in no particular order.
         """
-        live = self._live.get(data_centre)
+        live = self._live_cache.get(data_centre)
         if live is None:
             unreachable = self._list_unreachable()
-            live = self._live[data_centre] = [
+            live = self._live_cache[data_centre] = [
                 member
                 for member in self._table.list_members()
                 if member.state is members.MemberState.ALIVE
@@ -111,15 +112,15 @@
         return list(live)
 
     def known_instances(self) -> list[members.Member]:
-        """Returns every instance known, with its state, reachable or not."""
+        """Returns the records of all known instances, reachable or not."""
         return self._table.list_members()
 
     def find(self, instance_id: str) -> members.Member | None:
-        """Returns what is known of an instance, or None."""
+        """Returns the record of an instance, or None if it is unknown."""
         return self._table.find(instance_id)
 
     def list_alive(self, data_centre: str) -> list[members.Member]:
-        """Returns the instances not known to be gone, reachable or not."""
+        """Returns the live instances of a data centre, reachable or not."""
         return [
             member
             for member in self._table.list_members()
@@ -136,7 +137,7 @@
         ]
 
     def list_remote_data_centres(self) -> list[str]:
-        """Returns the other data centres that have instances, in order."""
+        """Returns the other data centres with live instances, sorted."""
         names = {
             member.data_centre
             for member in self._table.list_members()
@@ -145,10 +146,10 @@
         return sorted(names - {self._own.data_centre})
 
     def choose_representatives(self, data_centre: str) -> list[members.Member]:
-        """Returns the instances that talk for a data centre."""
-        chosen = self._representatives.get(data_centre)
+        """Returns the representatives of a data centre."""
+        chosen = self._representatives_cache.get(data_centre)
         if chosen is None:
-            chosen = self._representatives[data_centre] = (
+            chosen = self._representatives_cache[data_centre] = (
                 assignment.choose_subset(
                     _REPRESENTATIVES_KEY,
                     self.list_alive(data_centre),
@@ -158,42 +159,42 @@
         return list(chosen)
 
     def is_representative(self) -> bool:
-        """Says whether this instance talks to other data centres."""
+        """Returns whether this instance is a representative."""
         return self._own in self.choose_representatives(self._own.data_centre)
 
     def is_reachable(self, data_centre: str) -> bool:
-        """Says whether a data centre is not known to be cut off from here."""
+        """Returns whether a data centre is not known to be unreachable."""
         return data_centre not in self._list_unreachable()
 
-    def read_heard(self, instance_id: str) -> float:
-        """Returns when an instance last spoke to this one, in seconds."""
-        return self._heard_s.get(instance_id, float("-inf"))
+    def get_last_heard(self, instance_id: str) -> float:
+        """Returns the monotonic time in seconds of the last message."""
+        return self._last_heard_s.get(instance_id, float("-inf"))
 
     def set_revision(self, revision: int) -> None:
-        """Tells the others which catalogue revision is in force here."""
-        self.change_own(revision=revision)
+        """Announces the catalogue revision in force at this instance."""
+        self.update_own(revision=revision)
 
     def set_reachable(self, data_centre: str, reachable: bool) -> bool:
-        """Notes whether this instance can reach another data centre.
+        """Records whether this instance can reach another data centre.
 
         Args:
           data_centre: the other data centre.
-          reachable: whether a call got through.
+          reachable: whether a call succeeded.
 
         Returns:
-          Whether this changes what was noted before.
+          Whether this changes what was recorded before.
         """
-        is_news = self._reachability.set_own(data_centre, reachable)
-        if is_news:
+        is_changed = self._reachability.set_own(data_centre, reachable)
+        if is_changed:
             self._clear_cache()
-        return is_news
+        return is_changed
 
     @contextlib.contextmanager
     def subscribe(self, callback: ChangeCallback) -> Iterator[None]:
-        """Calls back with each changed member while the context is open.
+        """Calls back with each changed record while the context is open.
 
         Args:
-          callback: gets the member as it is now.
+          callback: called with the new record.
 
         Yields:
           Nothing.
@@ -204,13 +205,13 @@
         finally:
             self._callbacks.remove(callback)
 
-    def change_own(
+    def update_own(
         self,
         state: members.MemberState | None = None,
         incarnation: int | None = None,
         revision: int | None = None,
     ) -> None:
-        """Changes what this instance tells of itself."""
+        """Changes the record that this instance announces of itself."""
         own = self._own
         self._own = dataclasses.replace(
             own,
@@ -221,21 +222,21 @@
         self._merge_one(self._own)
 
     def merge(self, records: Iterable[members.Member]) -> list[members.Member]:
-        """Takes in records from a peer.
+        """Merges records from a peer.
 
         Args:
-          records: what the peer knows.
+          records: the records.
 
         Returns:
-          Those whose state or incarnation was news here.
+          Those that changed the known state or incarnation.
         """
-        news = []
+        changed = []
         for record in records:
             if record.instance_id == self._own.instance_id:
                 self._refute(record)
-            elif self._is_welcome(record) and self._merge_one(record):
-                news.append(record)
-        return news
+            elif self._is_acceptable(record) and self._merge_one(record):
+                changed.append(record)
+        return changed
 
     def build_heartbeat(
         self, receiver: str | None = None
@@ -243,12 +244,13 @@
         """Builds a heartbeat.
 
         Args:
-          receiver: instance that gets it, to tell it if it counts as gone.
+          receiver: id of the receiving instance; if it counts as gone, the
+            message carries that record so that it can refute it.
 
         Returns:
-          The message, with the news that are due to be passed on.
+          The message, with pending updates.
         """
-        updates = self._table.take_news(_NEWS_LIMIT)
+        updates = self._table.take_updates(_UPDATES_PER_HEARTBEAT)
         known = self._table.find(receiver) if receiver else None
         if known and known.state is not members.MemberState.ALIVE:
             updates.append(known)
@@ -261,39 +263,39 @@
             soft=self.soft.contents,
         )
 
-    def take_heartbeat(
+    def merge_heartbeat(
         self, heartbeat: membership_pb2.Heartbeat
     ) -> list[members.Member]:
-        """Takes in a heartbeat.
+        """Merges the contents of a heartbeat.
 
         Args:
-          heartbeat: message of a peer.
+          heartbeat: message from a peer.
 
         Returns:
-          The members whose state or incarnation was news here.
+          The members whose known state or incarnation changed.
         """
         sender = members.decode_member(heartbeat.sender)
-        self._heard_s[sender.instance_id] = self._timers.read_monotonic()
-        news = self.merge(
+        self._last_heard_s[sender.instance_id] = self._timers.read_monotonic()
+        changed = self.merge(
             [sender, *map(members.decode_member, heartbeat.updates)]
         )
         if sender.data_centre == self._own.data_centre:
-            self._take_report(sender.instance_id, heartbeat)
+            self._update_reachability(sender.instance_id, heartbeat)
         self.soft.deliver(sender, heartbeat.soft)
-        return news
+        return changed
 
     def declare_dead(self, member: members.Member) -> members.Member:
-        """Notes that an instance does not answer; returns the new record."""
+        """Marks an instance as dead; returns the new record."""
         dead = dataclasses.replace(member, state=members.MemberState.DEAD)
         self._merge_one(dead)
         return dead
 
-    def forget_gone(self, kept: set[str], before_s: float) -> None:
-        """Drops instances that are gone, or unreachable and unlisted.
+    def forget_gone(self, listed_ids: set[str], before_s: float) -> None:
+        """Removes unlisted instances that are gone or unreachable.
 
         Args:
-          kept: ids that the platform still lists.
-          before_s: only those that last changed before this time.
+          listed_ids: ids that the platform still lists; these are kept.
+          before_s: removes only records that last changed before this time.
         """
         unreachable = self._list_unreachable()
         for member in self._table.list_members():
@@ -301,24 +303,24 @@
                 member.state is not members.MemberState.ALIVE
                 or member.data_centre in unreachable
             )
-            old = self._changed_s.get(member.instance_id, 0.0) < before_s
-            if gone and old and member.instance_id not in kept:
+            old = self._last_changed_s.get(member.instance_id, 0.0) < before_s
+            if gone and old and member.instance_id not in listed_ids:
                 self._drop(member.instance_id)
 
     def _clear_cache(self) -> None:
-        self._live.clear()
-        self._representatives.clear()
-        self._cut_off = None
+        self._live_cache.clear()
+        self._representatives_cache.clear()
+        self._unreachable_cache = None
 
     def _drop(self, instance_id: str) -> None:
         self._clear_cache()
         self._table.forget(instance_id)
-        self._heard_s.pop(instance_id, None)
-        self._changed_s.pop(instance_id, None)
+        self._last_heard_s.pop(instance_id, None)
+        self._last_changed_s.pop(instance_id, None)
         self._reachability.forget(instance_id)
 
-    def _is_welcome(self, record: members.Member) -> bool:
-        """Keeps out what was forgotten here and not yet everywhere."""
+    def _is_acceptable(self, record: members.Member) -> bool:
+        """Returns False for records removed here but still gossiped."""
         if self._table.find(record.instance_id) is not None:
             return True
         return (
@@ -327,26 +329,28 @@
         )
 
     def _refute(self, record: members.Member) -> None:
-        """Answers the news of this instance's own death with a higher number.
+        """Refutes a record of this instance's death by a higher incarnation.
 
-        A record of an earlier start of this instance is no such news.
+        A record of an earlier start of this instance needs no refutation.
         """
         if record.incarnation < self._own.incarnation:
             return
         if record.state.value <= self._own.state.value:
             return
         self.counters.refutations += 1
-        self.change_own(incarnation=record.incarnation + 1)
+        self.update_own(incarnation=record.incarnation + 1)
 
     def _merge_one(self, record: members.Member) -> bool:
-        """Merges one record; returns whether its state or start is news."""
+        """Merges a record; returns whether state or incarnation changed."""
         before = self._table.merge(record)
         if before is None:
             return False
         self._clear_cache()
-        is_new = before is record or record.differs_in_life(before)
+        is_new = before is record or record.differs_in_liveness(before)
         if is_new:
-            self._changed_s[record.instance_id] = self._timers.read_monotonic()
+            self._last_changed_s[record.instance_id] = (
+                self._timers.read_monotonic()
+            )
             self._log_change(before, record)
         for callback in list(self._callbacks):
             callback(record)
@@ -363,19 +367,19 @@
             incarnation=after.incarnation,
         )
 
-    def _take_report(
+    def _update_reachability(
         self, instance_id: str, heartbeat: membership_pb2.Heartbeat
     ) -> None:
         unreachable = heartbeat.unreachable
         report = unreachable if heartbeat.representative else None
-        if self._reachability.take_report(instance_id, report):
+        if self._reachability.update_report(instance_id, report):
             self._clear_cache()
 
     def _list_unreachable(self) -> frozenset[str]:
-        if self._cut_off is None:
+        if self._unreachable_cache is None:
             own = self._own.data_centre
             representatives = self.choose_representatives(own)
-            self._cut_off = self._reachability.list_unreachable(
+            self._unreachable_cache = self._reachability.list_unreachable(
                 member.instance_id for member in representatives
             )
-        return self._cut_off
+        return self._unreachable_cache
--- a/rhubarblock/fleet/orders.py
+++ b/rhubarblock/fleet/orders.py
@@ -1,7 +1,8 @@
-"""Which pools this instance gives orders to.
+"""Runs the pool controllers that are assigned to this instance.
 
-The coordinator of a pool, by rendezvous hashing, pursues its lease; the lease
-and its fencing number decide, so two coordinators for a while are harmless.
+The coordinator of a pool, chosen by rendezvous hashing, contends for the pool's
+lease. The lease and its fencing number decide who may give orders, so that two
+coordinators for a short time are harmless.
 """
 
 import asyncio
@@ -16,9 +17,9 @@
 from rhubarblock.fleet import assignment
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import engineclient
-from rhubarblock.fleet import enginework
+from rhubarblock.fleet import engineupdate
 from rhubarblock.fleet import lease as leases
-from rhubarblock.fleet import poolkeeper
+from rhubarblock.fleet import poolcontroller
 from rhubarblock.fleet import poolrecord
 from rhubarblock.fleet.membership import membership as memberships
 from rhubarblock.kernel import timers as timers_lib
@@ -27,41 +28,42 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OrderSettings:
-    """Numbers of the orders to engines.
+    """Settings of the orders to engines.
 
     Attributes:
-      duty_interval_s: seconds between two looks at which pools are due here.
+      assignment_interval_s: seconds between two checks of which pools are
+        assigned to this instance.
       concurrent_loads: engines of the whole fleet that may read the weight
-        store at a time; each pool of each data centre gets an equal part, at
-        least one, so that the budget needs no talk between them.
-      lease: times of the leases.
-      keeper: times and numbers of the keepers.
-      work: times of the work at one engine.
+        store at a time. Each pool of each data centre gets an equal share, at
+        least one, so that the budget needs no coordination.
+      lease: settings of the leases.
+      controller: settings of the pool controllers.
+      engine_update: timeouts of updates of one engine.
     """
 
-    duty_interval_s: float = 1.0
+    assignment_interval_s: float = 1.0
     concurrent_loads: int = 8
     lease: leases.LeaseSettings = dataclasses.field(
         default_factory=leases.LeaseSettings
     )
-    keeper: poolkeeper.KeeperSettings = dataclasses.field(
-        default_factory=poolkeeper.KeeperSettings
+    controller: poolcontroller.PoolControllerSettings = dataclasses.field(
+        default_factory=poolcontroller.PoolControllerSettings
     )
-    work: enginework.WorkSettings = dataclasses.field(
-        default_factory=enginework.WorkSettings
+    engine_update: engineupdate.EngineUpdateSettings = dataclasses.field(
+        default_factory=engineupdate.EngineUpdateSettings
     )
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Duty:
-    """A pool that is kept here."""
+class _RunningController:
+    """A pool controller and the task that runs it."""
 
-    keeper: poolkeeper.PoolKeeper
+    controller: poolcontroller.PoolController
     task: asyncio.Task[None]
 
 
 class OrderService:
-    """Keeps the pools of this data centre that fall to this instance."""
+    """Runs controllers for the pools of this data centre assigned here."""
 
     def __init__(
         self,
@@ -79,12 +81,12 @@
         Args:
           membership: the instances that share the pools.
           store: the platform's object API.
-          client: calls to engines.
-          table: the endpoints and what they report.
+          client: carries calls to engines.
+          table: the endpoints and their load reports.
           read_catalogue: returns the catalogue in force.
           timers: the timer service.
-          rng: makes ids.
-          settings: numbers.
+          rng: generates ids.
+          settings: settings.
         """
         self._membership = membership
         self._store = store
@@ -94,48 +96,49 @@
         self._timers = timers
         self._rng = rng
         self._settings = settings or OrderSettings()
-        self._duties: dict[str, _Duty] = {}
-        self.counters = poolkeeper.KeeperCounters()
+        self._controllers: dict[str, _RunningController] = {}
+        self.counters = poolcontroller.PoolControllerCounters()
         table.subscribe(self._record_state)
 
     def list_pools(self) -> list[str]:
-        """Returns the services whose engines this instance tries to order."""
-        return sorted(self._duties)
+        """Returns the services whose pools are assigned to this instance."""
+        return sorted(self._controllers)
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator["OrderService"]:
-        """Keeps what falls to this instance while the context is open.
+        """Runs the assigned controllers while the context is open.
 
         Yields:
           This service.
         """
-        interval_s = self._settings.duty_interval_s
+        interval_s = self._settings.assignment_interval_s
         try:
-            with self._timers.subscribe(interval_s, self._follow_duties):
+            with self._timers.subscribe(interval_s, self._update_controllers):
                 yield self
         finally:
-            for service in list(self._duties):
-                await self._end(service)
+            for service in list(self._controllers):
+                await self._stop_controller(service)
 
-    async def _follow_duties(self) -> None:
+    async def _update_controllers(self) -> None:
         catalogue = self._read_catalogue()
-        due = {
+        assigned = {
             service.name
             for service in catalogue.services.values()
             if service.kind is endpoints.EndpointKind.ENGINE
-            and self._is_due(service.name)
+            and self._is_coordinator(service.name)
         }
-        for service in due - self._duties.keys():
-            self._begin(service)
-        for service in self._duties.keys() - due:
-            await self._end(service)
-        for service, duty in list(self._duties.items()):
-            if duty.task.done():
-                # What it raised is raised here, and ends the service.
-                del self._duties[service]
-                duty.task.result()
-
-    def _is_due(self, service: str) -> bool:
+        for service in assigned - self._controllers.keys():
+            self._start_controller(service)
+        for service in self._controllers.keys() - assigned:
+            await self._stop_controller(service)
+        for service, running in list(self._controllers.items()):
+            if running.task.done():
+                # Re-raises the error that ended the controller, which stops
+                # this service.
+                del self._controllers[service]
+                running.task.result()
+
+    def _is_coordinator(self, service: str) -> bool:
         own = self._membership.own
         chosen = assignment.choose_coordinator(
             f"orders/{own.data_centre}/{service}",
@@ -143,7 +146,7 @@
         )
         return chosen is not None and chosen.instance_id == own.instance_id
 
-    def _begin(self, service: str) -> None:
+    def _start_controller(self, service: str) -> None:
         own = self._membership.own
         owner = f"{own.instance_id}/{own.incarnation}"
         lease = leases.Lease(
@@ -154,8 +157,8 @@
             owner,
             self._settings.lease,
         )
-        keeper = poolkeeper.PoolKeeper(
-            poolkeeper.Pool(
+        controller = poolcontroller.PoolController(
+            poolcontroller.Pool(
                 own.data_centre,
                 service,
                 self._read_catalogue,
@@ -164,26 +167,26 @@
                 self._count_loads,
             ),
             lease,
-            poolrecord.RecordKeeper(self._store, own.data_centre, service),
-            enginework.EngineWorker(
+            poolrecord.PoolRecordClient(self._store, own.data_centre, service),
+            engineupdate.EngineUpdater(
                 self._client,
                 lease,
                 self._timers,
                 self._rng,
                 owner,
-                self._settings.work,
+                self._settings.engine_update,
             ),
             self._timers,
-            self._settings.keeper,
+            self._settings.controller,
             self.counters,
         )
-        task = asyncio.ensure_future(keeper.run())
-        self._duties[service] = _Duty(keeper, task)
+        task = asyncio.ensure_future(controller.run())
+        self._controllers[service] = _RunningController(controller, task)
 
-    async def _end(self, service: str) -> None:
-        duty = self._duties.pop(service)
-        duty.task.cancel()
-        await asyncio.wait([duty.task])
+    async def _stop_controller(self, service: str) -> None:
+        running = self._controllers.pop(service)
+        running.task.cancel()
+        await asyncio.wait([running.task])
 
     def _count_loads(self) -> int:
         catalogue = self._read_catalogue()
@@ -200,5 +203,5 @@
         before: endpoints.EndpointState,
         after: endpoints.EndpointState,
     ) -> None:
-        for duty in self._duties.values():
-            duty.keeper.record_state(endpoint_id, after)
+        for running in self._controllers.values():
+            running.controller.record_state(endpoint_id, after)
--- a/rhubarblock/fleet/orders_test.py
+++ b/rhubarblock/fleet/orders_test.py
@@ -10,9 +10,9 @@
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import orders
-from rhubarblock.fleet import poolkeeper
+from rhubarblock.fleet import poolcontroller
 from rhubarblock.fleet import poolrecord
-from rhubarblock.fleet import versiontrial
+from rhubarblock.fleet import versionrollout
 from rhubarblock.kernel import virtualloop
 from rhubarblock.standins import memoryfleet
 from rhubarblock.standins.engine import cluster as enginecluster
@@ -22,12 +22,12 @@
 from rhubarblock.store import instances
 
 SETTLE_S = 20.0
-# Long enough for a report to be older than the last order.
+# Long enough that a load report can be older than the last order.
 LOAD_INTERVAL_S = 1.0
 SETTINGS = orders.OrderSettings(
     concurrent_loads=2,
-    keeper=poolkeeper.KeeperSettings(
-        trial=versiontrial.TrialSettings(bake_s=5.0)
+    controller=poolcontroller.PoolControllerSettings(
+        rollout=versionrollout.RolloutSettings(bake_s=5.0)
     ),
 )
 
@@ -53,7 +53,7 @@
 
 
 class LossyClient(enginecluster.MemoryEngineClient):
-    """Loses the answers to some orders that the engines obeyed."""
+    """Loses the responses to some orders that the engines accepted."""
 
     __slots__ = ("lose_next",)
 
@@ -72,7 +72,7 @@
 
 
 class CountingStore(engineweights.WeightStore):
-    """Counts the reads at a time."""
+    """Records the highest number of concurrent reads."""
 
     __slots__ = ("reading", "most_reading")
 
@@ -86,34 +86,34 @@
 
 
 class Node:
-    """One instance with what it needs to give orders."""
+    """One instance with everything it needs to give orders."""
 
-    def __init__(self, bench, node):
+    def __init__(self, harness, node):
         self.node = node
         self.table = endpointtables.EndpointTable(node.timers)
-        self.client = LossyClient(bench.cluster, node.timers, latency_s=0.001)
+        self.client = LossyClient(harness.cluster, node.timers, latency_s=0.001)
         self.client.lose_next = 0
         self.service = orders.OrderService(
             node.membership,
             node.store,
             self.client,
             self.table,
-            lambda: bench.catalogue,
+            lambda: harness.catalogue,
             node.timers,
             node.rng,
             SETTINGS,
         )
-        self.bench = bench
+        self.harness = harness
 
     async def read_loads(self):
-        self.table.update_from_list(self.bench.listed)
-        for listed in self.bench.listed:
+        self.table.update_from_list(self.harness.listed)
+        for listed in self.harness.listed:
             with contextlib.suppress(failures.FailureError):
                 report = await self.client.fetch_load(listed.address)
                 self.table.record_load(report)
 
 
-class Bench:
+class Harness:
     """Engines, and instances that give them orders."""
 
     def __init__(self, fleet, engine_count, checks_fencing=True):
@@ -171,8 +171,8 @@
     def holder(self):
         return next(node for node in self.nodes if node.service.list_pools())
 
-    async def ask(self, number, model="m"):
-        """Sends a request to an engine; returns whether the answer is whole."""
+    async def send_request(self, number, model="m"):
+        """Sends a request; returns whether the answer is complete."""
         attempt = attempts.Attempt(
             f"r{random.random()}/1", "t/1", model, "", 100, (), "d", 3
         )
@@ -190,307 +190,316 @@
         await self.fleet.timers.sleep(seconds)
 
 
-def run(scene, engine_count=3, instance_count=1, checks_fencing=True):
-    """Runs a scene on a settled bench and returns its result."""
+def run(scenario, engine_count=3, instance_count=1, checks_fencing=True):
+    """Runs a scenario on a settled harness and returns its result."""
 
     async def main():
         async with memoryfleet.open_fleet() as fleet:
-            bench = Bench(fleet, engine_count, checks_fencing)
+            harness = Harness(fleet, engine_count, checks_fencing)
             for number in range(instance_count):
-                await bench.start(f"i{number}")
-            await bench.sleep(SETTLE_S)
-            return await scene(bench)
+                await harness.start(f"i{number}")
+            await harness.sleep(SETTLE_S)
+            return await scenario(harness)
 
     return virtualloop.run(main())
 
 
-def test_new_holder_shows_every_engine_its_fencing_number():
-    async def scene(bench):
-        return {engine.fence > 0 for engine in bench.cluster}, bench.loaded()
+def test_new_holder_sends_its_fencing_number_to_every_engine():
+    async def scenario(harness):
+        return {
+            engine.fence > 0 for engine in harness.cluster
+        }, harness.loaded()
 
-    assert run(scene) == ({True}, [("m@1",)] * 3)
+    assert run(scenario) == ({True}, [("m@1",)] * 3)
 
 
-def test_version_changes_endpoint_by_endpoint_without_a_failed_request():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
+def test_rolling_version_change_fails_no_request():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
         failed = 0
-        least_able = 3
+        min_serving = 3
         for _ in range(300):
-            answers = [await bench.ask(number) for number in range(3)]
+            answers = [
+                await harness.send_request(number) for number in range(3)
+            ]
             failed += answers.count(False)
-            least_able = min(least_able, sum(map(bool, bench.loaded())))
-            await bench.sleep(0.1)
-        return failed, least_able, bench.loaded()
+            min_serving = min(min_serving, sum(map(bool, harness.loaded())))
+            await harness.sleep(0.1)
+        return failed, min_serving, harness.loaded()
 
-    assert run(scene) == (0, 3, [("m@2",)] * 3)
+    assert run(scenario) == (0, 3, [("m@2",)] * 3)
 
 
-def test_stale_report_after_an_order_does_not_turn_it_back():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
-        turns = []
-        last = bench.loaded()
+def test_stale_report_after_an_order_does_not_revert_it():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
+        changes = []
+        last = harness.loaded()
         for _ in range(600):
-            await bench.sleep(0.05)
-            now = bench.loaded()
-            turns += [a for a, b in zip(now, last, strict=True) if a != b]
+            await harness.sleep(0.05)
+            now = harness.loaded()
+            changes += [a for a, b in zip(now, last, strict=True) if a != b]
             last = now
-        return sorted(set(turns)), turns.count(())
+        return sorted(set(changes)), changes.count(())
 
-    assert run(scene) == ([("m@1", "m@2"), ("m@2",)], 0)
+    assert run(scenario) == ([("m@1", "m@2"), ("m@2",)], 0)
 
 
-def test_reads_of_the_weight_store_stay_within_their_budget():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(60.0)
-        return bench.weights.most_reading, bench.loaded()
+def test_weight_store_reads_stay_within_the_budget():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(60.0)
+        return harness.weights.most_reading, harness.loaded()
 
-    assert run(scene, engine_count=8) == (2, [("m@2",)] * 8)
+    assert run(scenario, engine_count=8) == (2, [("m@2",)] * 8)
 
 
-def test_first_engine_serves_a_new_version_alone_for_a_while():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
+def test_first_engine_serves_a_new_version_alone_for_the_bake_time():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
         counts = []
         for _ in range(400):
-            changed = sum("m@2" in models for models in bench.loaded())
+            changed = sum("m@2" in models for models in harness.loaded())
             counts.append(changed)
-            await bench.sleep(0.05)
+            await harness.sleep(0.05)
         return counts.count(1) * 0.05 >= 5.0, counts[-1]
 
-    assert run(scene) == (True, 3)
+    assert run(scenario) == (True, 3)
 
 
-def test_change_to_a_version_that_fails_stops_by_itself():
-    async def scene(bench):
-        for engine in bench.cluster:
+def test_rollout_of_a_failing_version_halts():
+    async def scenario(harness):
+        for engine in harness.cluster:
             engine.faults.bad_versions.add("m@2")
-        bench.catalogue = make_catalogue("2", revision=2)
+        harness.catalogue = make_catalogue("2", revision=2)
         failed = 0
         for _ in range(200):
-            answers = [await bench.ask(number) for number in range(3)]
+            answers = [
+                await harness.send_request(number) for number in range(3)
+            ]
             failed += answers.count(False)
-            await bench.sleep(0.1)
-        reads = bench.weights.reads
-        await bench.sleep(60.0)
-        stored = await bench.fleet.platform.read(
+            await harness.sleep(0.1)
+        reads = harness.weights.reads
+        await harness.sleep(60.0)
+        stored = await harness.fleet.platform.read(
             poolrecord.name_record("a", "pool")
         )
         halted = poolrecord.decode(stored.value).halted
-        # It is not tried again, but another version is.
-        tried_again = bench.weights.reads - reads
-        bench.catalogue = make_catalogue("3", revision=3)
-        await bench.sleep(30.0)
-        return failed, halted, tried_again, bench.loaded()
+        # The halted version is not tried again, but another version is.
+        tried_again = harness.weights.reads - reads
+        harness.catalogue = make_catalogue("3", revision=3)
+        await harness.sleep(30.0)
+        return failed, halted, tried_again, harness.loaded()
 
-    assert run(scene) == (0, {"m": "2"}, 0, [("m@3",)] * 3)
+    assert run(scenario) == (0, {"m": "2"}, 0, [("m@3",)] * 3)
 
 
-def test_version_that_fails_only_under_real_requests_is_taken_back():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
-        table = bench.holder().table
+def test_version_that_fails_under_real_requests_is_rolled_back():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
+        table = harness.holder().table
         failure = failures.Failure(failures.FailureCode.STREAM_CUT, "cut")
-        while ("m@2",) not in bench.loaded():
-            await bench.sleep(0.1)
-        pioneer = bench.loaded().index(("m@2",))
-        table.record_failure(f"e{pioneer}", failure)
-        await bench.sleep(0.6)
-        table.record_success(f"e{pioneer}")
-        table.record_failure(f"e{pioneer}", failure)
-        await bench.sleep(30.0)
-        return bench.loaded(), bench.holder().service.counters.versions_halted
-
-    assert run(scene) == ([("m@1",)] * 3, 1)
-
-
-def test_successor_of_a_holder_does_not_retry_what_failed():
-    async def scene(bench):
-        for engine in bench.cluster:
+        while ("m@2",) not in harness.loaded():
+            await harness.sleep(0.1)
+        first_engine = harness.loaded().index(("m@2",))
+        table.record_failure(f"e{first_engine}", failure)
+        await harness.sleep(0.6)
+        table.record_success(f"e{first_engine}")
+        table.record_failure(f"e{first_engine}", failure)
+        await harness.sleep(30.0)
+        return (
+            harness.loaded(),
+            harness.holder().service.counters.versions_halted,
+        )
+
+    assert run(scenario) == ([("m@1",)] * 3, 1)
+
+
+def test_next_holder_does_not_retry_a_halted_version():
+    async def scenario(harness):
+        for engine in harness.cluster:
             engine.faults.bad_versions.add("m@2")
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(10.0)
-        reads = bench.weights.reads
-        holder = bench.holder()
-        bench.nodes.remove(holder)
-        await bench.fleet.kill(holder.node)
-        await bench.sleep(40.0)
-        return bench.weights.reads - reads, bench.loaded()
-
-    assert run(scene, instance_count=2) == (0, [("m@1",)] * 3)
-
-
-def test_holder_that_takes_over_in_the_midst_of_a_change_leaves_no_gap():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
-        least_able = 3
-        old = bench.holder()
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(10.0)
+        reads = harness.weights.reads
+        holder = harness.holder()
+        harness.nodes.remove(holder)
+        await harness.fleet.kill(holder.node)
+        await harness.sleep(40.0)
+        return harness.weights.reads - reads, harness.loaded()
+
+    assert run(scenario, instance_count=2) == (0, [("m@1",)] * 3)
+
+
+def test_takeover_during_a_rollout_leaves_no_engine_without_model():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
+        min_serving = 3
+        old = harness.holder()
         for step in range(400):
             if step % 100 == 30:
-                # Its duty passes to the other one, and comes back.
-                bench.fleet.network.pause(old.node.address)
+                # The pool is assigned to the other instance, and later back.
+                harness.fleet.network.pause(old.node.address)
             if step % 100 == 80:
-                bench.fleet.network.resume(old.node.address)
-            least_able = min(least_able, sum(map(bool, bench.loaded())))
-            await bench.sleep(0.2)
-        return least_able, bench.loaded()
-
-    assert run(scene, instance_count=2) == (3, [("m@2",)] * 3)
-
-
-def test_old_report_is_no_ground_for_an_order():
-    async def scene(bench):
-        # The second one reads the loads at its start and not again.
-        await bench.start("i1", interval_s=3600.0)
-        bench.catalogue = make_catalogue("2", revision=2)
-        while bench.loaded().count(("m@2",)) < 2:
-            await bench.sleep(0.1)
-        first = bench.nodes.pop(0)
-        await bench.fleet.kill(first.node)
-        least_able = 5
+                harness.fleet.network.resume(old.node.address)
+            min_serving = min(min_serving, sum(map(bool, harness.loaded())))
+            await harness.sleep(0.2)
+        return min_serving, harness.loaded()
+
+    assert run(scenario, instance_count=2) == (3, [("m@2",)] * 3)
+
+
+def test_stale_report_causes_no_order():
+    async def scenario(harness):
+        # The second instance reads load reports only once, at its start.
+        await harness.start("i1", interval_s=3600.0)
+        harness.catalogue = make_catalogue("2", revision=2)
+        while harness.loaded().count(("m@2",)) < 2:
+            await harness.sleep(0.1)
+        first = harness.nodes.pop(0)
+        await harness.fleet.kill(first.node)
+        min_serving = 5
         for _ in range(100):
-            await bench.sleep(0.2)
-            least_able = min(least_able, sum(map(bool, bench.loaded())))
-        return least_able, bench.nodes[0].service.list_pools()
+            await harness.sleep(0.2)
+            min_serving = min(min_serving, sum(map(bool, harness.loaded())))
+        return min_serving, harness.nodes[0].service.list_pools()
 
-    assert run(scene, engine_count=5) == (5, ["pool"])
+    assert run(scenario, engine_count=5) == (5, ["pool"])
 
 
-def test_dead_holder_is_followed_by_another_within_seconds():
-    async def scene(bench):
-        holder = bench.holder()
-        bench.nodes.remove(holder)
-        await bench.fleet.kill(holder.node)
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(40.0)
-        return bench.loaded()
+def test_dead_holder_is_replaced():
+    async def scenario(harness):
+        holder = harness.holder()
+        harness.nodes.remove(holder)
+        await harness.fleet.kill(holder.node)
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(40.0)
+        return harness.loaded()
 
-    assert run(scene, instance_count=2) == [("m@2",)] * 3
+    assert run(scenario, instance_count=2) == [("m@2",)] * 3
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_paused_holder_that_goes_on_does_no_lasting_harm(checks_fencing):
-    async def scene(bench):
-        old = bench.holder()
+def test_resumed_holder_without_lease_sends_no_order(checks_fencing):
+    async def scenario(harness):
+        old = harness.holder()
         stale = old.service.counters
-        bench.fleet.network.pause(old.node.address)
-        await bench.sleep(15.0)
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(40.0)
+        harness.fleet.network.pause(old.node.address)
+        await harness.sleep(15.0)
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(40.0)
         before = stale.orders
-        bench.fleet.network.resume(old.node.address)
-        await bench.sleep(0.4)
-        # It looks at its lease first and gives no order.
-        return stale.orders - before, bench.loaded()
+        harness.fleet.network.resume(old.node.address)
+        await harness.sleep(0.4)
+        # It checks its lease first and gives no order.
+        return stale.orders - before, harness.loaded()
 
-    assert run(scene, 3, 2, checks_fencing) == (0, [("m@2",)] * 3)
+    assert run(scenario, 3, 2, checks_fencing) == (0, [("m@2",)] * 3)
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_order_that_was_on_its_way_while_the_lease_passed_on(checks_fencing):
-    async def scene(bench):
+def test_late_order_of_an_earlier_holder_has_no_lasting_effect(checks_fencing):
+    async def scenario(harness):
         stale = attempts.Order(1, 1, "both", ("m@0",), ("a",))
-        client = bench.nodes[0].client
+        client = harness.nodes[0].client
         obeyed = 0
-        for listed in bench.listed:
+        for listed in harness.listed:
             try:
                 await client.give_order(listed.address, stale)
                 obeyed += 1
             except failures.FailureError:
                 pass
-        await bench.sleep(20.0)
-        return obeyed, bench.loaded()
+        await harness.sleep(20.0)
+        return obeyed, harness.loaded()
 
-    # Engines that ignore the number are put right.
-    assert run(scene, checks_fencing=checks_fencing) == (
+    # Engines that ignore the fencing number are corrected afterwards.
+    assert run(scenario, checks_fencing=checks_fencing) == (
         0 if checks_fencing else 3,
         [("m@1",)] * 3,
     )
 
 
-def test_holder_that_meets_a_later_number_gives_way():
-    async def scene(bench):
-        service = bench.holder().service
-        await bench.holder().client.give_order(
-            bench.listed[0].address,
+def test_holder_that_meets_a_later_fence_abandons_its_lease():
+    async def scenario(harness):
+        service = harness.holder().service
+        await harness.holder().client.give_order(
+            harness.listed[0].address,
             attempts.Order(1_000_000, 1, "both", ("m@1",), ("a",)),
         )
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(5.0)
-        return service.counters.leases_lost > 0, bench.loaded()[0]
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(5.0)
+        return service.counters.leases_lost > 0, harness.loaded()[0]
 
-    assert run(scene) == (True, ("m@1",))
+    assert run(scenario) == (True, ("m@1",))
 
 
-def test_engine_that_starts_anew_is_put_right():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(40.0)
-        bench.engine(1).restart()
-        before = bench.loaded()[1]
-        await bench.sleep(10.0)
-        return before, bench.loaded()
+def test_restarted_engine_is_corrected():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(40.0)
+        harness.engine(1).restart()
+        before = harness.loaded()[1]
+        await harness.sleep(10.0)
+        return before, harness.loaded()
 
-    assert run(scene) == (("m@1",), [("m@2",)] * 3)
+    assert run(scenario) == (("m@1",), [("m@2",)] * 3)
 
 
-def test_lost_answer_to_an_order_is_made_good():
-    async def scene(bench):
-        client = bench.holder().client
+def test_order_with_lost_response_is_repeated():
+    async def scenario(harness):
+        client = harness.holder().client
         client.lose_next = 4
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(40.0)
-        return client.lose_next, bench.loaded()
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(40.0)
+        return client.lose_next, harness.loaded()
 
-    assert run(scene) == (0, [("m@2",)] * 3)
+    assert run(scenario) == (0, [("m@2",)] * 3)
 
 
-def test_engine_that_leaves_by_itself_is_not_called_back():
-    async def scene(bench):
-        bench.engine(0).draining = True
-        bench.engine(0)._record_load()
-        await bench.sleep(20.0)
-        return bench.engine(0).draining
+def test_engine_that_drains_itself_is_left_alone():
+    async def scenario(harness):
+        harness.engine(0).draining = True
+        harness.engine(0)._record_load()
+        await harness.sleep(20.0)
+        return harness.engine(0).draining
 
-    assert run(scene) is True
+    assert run(scenario) is True
 
 
 def test_drain_by_an_operator_reaches_the_engine_and_ends():
-    async def scene(bench):
-        table = bench.holder().table
+    async def scenario(harness):
+        table = harness.holder().table
         table.mark_draining("e1")
-        await bench.sleep(5.0)
-        drained = [engine.draining for engine in bench.cluster]
+        await harness.sleep(5.0)
+        drained = [engine.draining for engine in harness.cluster]
         table.end_draining("e1")
-        await bench.sleep(5.0)
-        return drained, [engine.draining for engine in bench.cluster]
+        await harness.sleep(5.0)
+        return drained, [engine.draining for engine in harness.cluster]
 
-    assert run(scene) == ([False, True, False], [False, False, False])
+    assert run(scenario) == ([False, True, False], [False, False, False])
 
 
-def test_roles_follow_the_catalogue():
-    async def scene(bench):
-        bench.catalogue = make_catalogue("1", revision=2, decode_share=0.3)
-        await bench.sleep(10.0)
+def test_roles_follow_the_decode_share():
+    async def scenario(harness):
+        harness.catalogue = make_catalogue("1", revision=2, decode_share=0.3)
+        await harness.sleep(10.0)
         roles = [
-            engine.make_load_report().role.value for engine in bench.cluster
+            engine.make_load_report().role.value for engine in harness.cluster
         ]
         return sorted(roles)
 
-    assert run(scene) == ["decode", "prefill", "prefill"]
+    assert run(scenario) == ["decode", "prefill", "prefill"]
 
 
-def test_without_the_platform_engines_keep_what_they_run():
-    async def scene(bench):
-        bench.fleet.platform.faults.start_outage()
-        await bench.sleep(10.0)
-        bench.catalogue = make_catalogue("2", revision=2)
-        await bench.sleep(30.0)
-        during = bench.loaded()
-        bench.fleet.platform.faults.end_outage()
-        await bench.sleep(40.0)
-        return during, bench.loaded()
+def test_engines_keep_their_models_during_platform_outage():
+    async def scenario(harness):
+        harness.fleet.platform.faults.start_outage()
+        await harness.sleep(10.0)
+        harness.catalogue = make_catalogue("2", revision=2)
+        await harness.sleep(30.0)
+        during = harness.loaded()
+        harness.fleet.platform.faults.end_outage()
+        await harness.sleep(40.0)
+        return during, harness.loaded()
 
-    assert run(scene) == ([("m@1",)] * 3, [("m@2",)] * 3)
+    assert run(scenario) == ([("m@1",)] * 3, [("m@2",)] * 3)
--- a/rhubarblock/fleet/orphans.py
+++ b/rhubarblock/fleet/orphans.py
@@ -1,10 +1,10 @@
-"""Frees what instances left behind at engines.
+"""Cancels orphaned attempts at engines.
 
-Load reports name the attempts that hold memory, and each name tells its
-owner. The coordinator of an engine cancels those of instances that are known
-to be dead. Each instance cancels those of its own earlier starts, and its own
-ones that it no longer runs. An instance that can't be reached but is not known
-to be dead keeps what it has: it may well be serving its callers.
+Load reports list the attempts that hold memory, and each attempt id contains
+its owner. The coordinator of an engine cancels attempts of dead instances.
+Each instance cancels attempts of its own earlier starts, and its own attempts
+that it no longer runs. Attempts of an instance that is unreachable but not
+known to be dead are kept: it may still be serving its callers.
 """
 
 import asyncio
@@ -21,23 +21,23 @@
 from rhubarblock.fleet.membership import view as memberview
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds between two looks at the reports.
+# Seconds between two checks of the load reports.
 CHECK_INTERVAL_S = 0.5
-# An attempt must be without an owner for this long: a report shows the past,
-# in which the attempt may still have run.
+# An attempt must be an orphan for this many seconds: a load report lags, and
+# the attempt may still have been running when it was made.
 CONFIRM_S = 1.0
-# An instance that nobody knows counts as dead only after this long, since one
-# that just started is not known everywhere.
+# An unknown instance counts as dead only after this many seconds, since an
+# instance that has just started is not known everywhere yet.
 UNKNOWN_CONFIRM_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class OrphanCounters:
-    """What was found since the start.
+    """Counters of the collector since its start.
 
     Attributes:
-      cancelled: attempts that were cancelled.
-      failed: cancellations that did not reach the engine.
+      cancelled: cancelled orphans.
+      failed: cancellations that failed.
     """
 
     cancelled: int = 0
@@ -45,14 +45,14 @@
 
 
 class OrphanCollector:
-    """Finds and cancels the attempts of nobody."""
+    """Finds and cancels orphaned attempts."""
 
     __slots__ = (
         "_client",
+        "_found_since_s",
         "_is_running",
         "_members",
         "_own",
-        "_since_s",
         "_table",
         "_timers",
         "counters",
@@ -70,12 +70,12 @@
         """Creates a collector.
 
         Args:
-          own: this start of this instance.
+          own: id and incarnation of this instance.
           membership: the other instances.
-          table: the engines and their latest reports.
-          client: way to the engines.
-          is_running: says whether this instance runs a request id.
-          timers: timer service.
+          table: the engines and their latest load reports.
+          client: carries calls to engines.
+          is_running: returns whether this instance runs a request id.
+          timers: the timer service.
         """
         self._own = own
         self._members = membership
@@ -83,11 +83,14 @@
         self._client = client
         self._is_running = is_running
         self._timers = timers
-        self._since_s: dict[str, float] = {}
+        self._found_since_s: dict[str, float] = {}
         self.counters = OrphanCounters()
 
     async def collect(self) -> None:
-        """Cancels what has been without an owner; a tick of the timers."""
+        """Cancels attempts that have been orphans for long enough.
+
+        Call this periodically.
+        """
         now_s = self._timers.read_monotonic()
         found: dict[str, float] = {}
         due: list[tuple[endpoints.Endpoint, str]] = []
@@ -95,26 +98,32 @@
             if view.report is None:
                 continue
             for attempt_id in view.report.attempts:
-                wait_s = self._find_wait(view.endpoint, attempt_id)
-                if wait_s is None:
+                confirm_s = self._find_confirm_time(view.endpoint, attempt_id)
+                if confirm_s is None:
                     continue
-                since_s = self._since_s.get(attempt_id, now_s)
-                found[attempt_id] = since_s
-                if now_s - since_s >= wait_s:
+                found_since_s = self._found_since_s.get(attempt_id, now_s)
+                found[attempt_id] = found_since_s
+                if now_s - found_since_s >= confirm_s:
                     due.append((view.endpoint, attempt_id))
-        # What is no longer found is forgotten, so the memory stays small.
-        self._since_s = found
-        # Together, so that an engine that does not answer holds up no other.
+        # Attempts that are no longer orphans are removed, which bounds the
+        # size.
+        self._found_since_s = found
+        # Concurrently, so that an unresponsive engine does not delay the
+        # others.
         await asyncio.gather(*(self._cancel(*orphan) for orphan in due))
 
-    def _find_wait(
+    def _find_confirm_time(
         self, endpoint: endpoints.Endpoint, attempt_id: str
     ) -> float | None:
-        """Returns how long an orphan must be one; None for no orphan of ours.
+        """Returns how long an attempt must have been an orphan to be cancelled.
 
         Args:
           endpoint: engine that holds it.
           attempt_id: the attempt.
+
+        Returns:
+          The time in seconds, or None if it is not an orphan or another
+          instance is responsible for it.
         """
         owner = attemptid.parse_owner(attempt_id)
         if owner is None:
@@ -124,8 +133,9 @@
         member = self._members.find(owner.instance_id)
         if member and member.state is members.MemberState.ALIVE:
             return None
-        # Last, as it weighs all instances, and nearly every owner lives.
-        if not self._coordinates(endpoint):
+        # Checked last because it scores all instances and nearly every owner is
+        # alive.
+        if not self._is_coordinator(endpoint):
             return None
         return UNKNOWN_CONFIRM_S if member is None else CONFIRM_S
 
@@ -137,8 +147,8 @@
         request_id = attemptid.parse_request_id(attempt_id)
         return None if self._is_running(request_id) else CONFIRM_S
 
-    def _coordinates(self, endpoint: endpoints.Endpoint) -> bool:
-        """Says whether this instance answers for the orphans of an engine."""
+    def _is_coordinator(self, endpoint: endpoints.Endpoint) -> bool:
+        """Returns whether this instance is the coordinator of an engine."""
         chosen = assignment.choose_coordinator(
             f"endpoint/{endpoint.endpoint_id}", self._members.live_instances()
         )
@@ -150,7 +160,7 @@
         try:
             await self._client.cancel(endpoint.address, attempt_id)
         except failures.FailureError:
-            # It is still in the next report, and is tried again then.
+            # The next load report lists the orphan again, which retries it.
             self.counters.failed += 1
         else:
             self.counters.cancelled += 1
--- a/rhubarblock/fleet/orphans_test.py
+++ b/rhubarblock/fleet/orphans_test.py
@@ -15,14 +15,14 @@
 from rhubarblock.store import instances
 
 ADDRESS = "10.0.0.1:8000"
-# An engine whose orphans are instance a's duty, also while b lives.
+# An engine whose coordinator is instance a, also while b is alive.
 ENGINE = "e3"
 OWN = members.Member("a", "osu-hall", "10.0.1.1:7000", incarnation=2)
 OTHER = members.Member("b", "osu-hall", "10.0.1.2:7000", incarnation=5)
 
 
-class Bench:
-    """One engine, and the collector of instance a beside instance b."""
+class Harness:
+    """One engine and the collector of instance a; instance b is a peer."""
 
     def __init__(self):
         self.clock = timers.LoopTimers(0.0)
@@ -60,8 +60,8 @@
             self.clock,
         )
 
-    def hold(self, owner, incarnation):
-        """Starts an attempt that nobody reads and that decodes for long."""
+    def start_attempt(self, owner, incarnation):
+        """Starts a long attempt whose answer is never read."""
         request_id = attemptid.format_request_id(
             attemptid.Owner(owner, incarnation), 7
         )
@@ -74,106 +74,106 @@
         self.table.record_load(await self.client.fetch_load(ADDRESS))
         await self.collector.collect()
 
-    async def wait_until_free(self, most_s):
+    async def wait_until_free(self, limit_s):
         """Returns the seconds until the engine holds nothing, or None."""
-        begun_s = self.clock.read_monotonic()
-        while self.clock.read_monotonic() - begun_s < most_s:
+        started_s = self.clock.read_monotonic()
+        while self.clock.read_monotonic() - started_s < limit_s:
             await self.clock.sleep(0.25)
             await self.tick()
             if not self.engine.kv_held():
-                return self.clock.read_monotonic() - begun_s
+                return self.clock.read_monotonic() - started_s
         return None
 
-    def kill_other(self):
+    def mark_other_dead(self):
         self.view.merge(
             [dataclasses.replace(OTHER, state=members.MemberState.DEAD)]
         )
 
 
-def run(check):
+def run(scenario):
     async def main():
-        return await check(Bench())
+        return await scenario(Harness())
 
     return virtualloop.run(main())
 
 
-def test_memory_of_a_dead_instance_is_freed():
-    async def check(bench):
-        bench.hold("b", 5)
-        await bench.wait_until_free(2.0)
-        bench.kill_other()
-        return await bench.wait_until_free(5.0)
+def test_attempts_of_a_dead_instance_are_cancelled():
+    async def scenario(harness):
+        harness.start_attempt("b", 5)
+        await harness.wait_until_free(2.0)
+        harness.mark_other_dead()
+        return await harness.wait_until_free(5.0)
 
-    # The confirmation and the engine's answer, by steps of a quarter second.
-    assert run(check) == 1.25
+    # The confirmation time and the cancellation, in steps of 0.25 s.
+    assert run(scenario) == 1.25
 
 
-def test_memory_of_a_living_instance_is_never_taken():
-    async def check(bench):
-        bench.hold("b", 5)
-        assert await bench.wait_until_free(60.0) is None
-        assert bench.collector.counters.cancelled == 0
+def test_attempts_of_a_live_instance_are_kept():
+    async def scenario(harness):
+        harness.start_attempt("b", 5)
+        assert await harness.wait_until_free(60.0) is None
+        assert harness.collector.counters.cancelled == 0
 
-    run(check)
+    run(scenario)
 
 
-def test_a_death_that_was_a_false_alarm_takes_nothing():
-    async def check(bench):
-        bench.hold("b", 5)
-        await bench.wait_until_free(2.0)
-        bench.kill_other()
-        assert await bench.wait_until_free(0.75) is None
-        bench.view.merge([dataclasses.replace(OTHER, incarnation=6)])
-        assert await bench.wait_until_free(30.0) is None
+def test_refuted_death_cancels_nothing():
+    async def scenario(harness):
+        harness.start_attempt("b", 5)
+        await harness.wait_until_free(2.0)
+        harness.mark_other_dead()
+        assert await harness.wait_until_free(0.75) is None
+        harness.view.merge([dataclasses.replace(OTHER, incarnation=6)])
+        assert await harness.wait_until_free(30.0) is None
 
-    run(check)
+    run(scenario)
 
 
-def test_a_data_centre_that_is_cut_off_keeps_what_it_has():
-    async def check(bench):
+def test_attempts_of_an_unreachable_data_centre_are_kept():
+    async def scenario(harness):
         far = dataclasses.replace(OTHER, data_centre="tema-hall")
-        bench.view.merge([dataclasses.replace(far, incarnation=6)])
-        bench.view.set_reachable("tema-hall", False)
-        bench.hold("b", 6)
-        assert await bench.wait_until_free(30.0) is None
+        harness.view.merge([dataclasses.replace(far, incarnation=6)])
+        harness.view.set_reachable("tema-hall", False)
+        harness.start_attempt("b", 6)
+        assert await harness.wait_until_free(30.0) is None
 
-    run(check)
+    run(scenario)
 
 
-def test_own_attempts_that_run_are_kept_and_others_freed():
-    async def check(bench):
-        running = bench.hold("a", 2)
-        bench.running.add(running)
-        assert await bench.wait_until_free(30.0) is None
-        bench.running.clear()
-        return await bench.wait_until_free(5.0)
+def test_own_attempts_are_cancelled_once_not_running():
+    async def scenario(harness):
+        running = harness.start_attempt("a", 2)
+        harness.running.add(running)
+        assert await harness.wait_until_free(30.0) is None
+        harness.running.clear()
+        return await harness.wait_until_free(5.0)
 
-    assert run(check) == 1.25
+    assert run(scenario) == 1.25
 
 
-def test_attempts_of_an_earlier_start_are_freed():
-    async def check(bench):
-        bench.running.add(bench.hold("a", 1))
-        return await bench.wait_until_free(5.0)
+def test_attempts_of_an_earlier_start_are_cancelled():
+    async def scenario(harness):
+        harness.running.add(harness.start_attempt("a", 1))
+        return await harness.wait_until_free(5.0)
 
-    # The report lags, too.
-    assert run(check) == 1.5
+    # The load report lags as well.
+    assert run(scenario) == 1.5
 
 
-def test_an_instance_that_nobody_knows_counts_as_dead_only_late():
-    async def check(bench):
-        bench.hold("c", 1)
-        assert await bench.wait_until_free(10.0) is None
-        return await bench.wait_until_free(2.0) is not None
+def test_unknown_instance_counts_as_dead_only_after_a_delay():
+    async def scenario(harness):
+        harness.start_attempt("c", 1)
+        assert await harness.wait_until_free(10.0) is None
+        return await harness.wait_until_free(2.0) is not None
 
-    assert run(check)
+    assert run(scenario)
 
 
-def test_names_of_another_form_are_left_alone():
-    async def check(bench):
-        bench.engine.submit(
+def test_attempts_without_owner_in_their_id_are_kept():
+    async def scenario(harness):
+        harness.engine.submit(
             enginetesting.make_attempt("probe/1", 5000, 100_000)
         )
-        assert await bench.wait_until_free(30.0) is None
+        assert await harness.wait_until_free(30.0) is None
 
-    run(check)
+    run(scenario)
--- a/rhubarblock/fleet/peertls.py
+++ b/rhubarblock/fleet/peertls.py
@@ -1,8 +1,8 @@
-"""Keys and certificates of the calls between entry instances.
+"""TLS keys and certificates for calls between entry instances.
 
-All certificates of a fleet carry one DNS name, the peer name. Instances come
-and go with new IP numbers at any time, so a certificate for each number would
-be out of date at once; what has to be proved is that a peer belongs to us.
+All certificates of a fleet carry the same DNS name, the peer name. Instances
+come and go with new IP addresses at any time, so certificates per address
+would soon be outdated; a peer only has to prove that it belongs to the fleet.
 """
 
 import dataclasses
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TlsFiles:
-    """Where the key material lies, in PEM form.
+    """Paths of the key material in PEM format.
 
     Attributes:
-      certificate: chain of this instance.
+      certificate: certificate chain of this instance.
       key: private key of this instance.
-      authority: certificates of the authorities that peers are checked
-        against; two of them while an authority is replaced.
+      authority: certificates of the trusted authorities; two of them while an
+        authority is being replaced.
       peer_name: DNS name that each peer's certificate must carry.
     """
 
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TlsMaterial:
-    """The contents of the files at one moment."""
+    """Contents of the key files at one time."""
 
     certificate: bytes
     key: bytes
@@ -45,14 +45,14 @@
     """Reads the files and checks that the key belongs to the certificate.
 
     Args:
-      files: where they lie.
+      files: paths of the files.
 
     Returns:
       Their contents.
 
     Raises:
-      OSError: one of them cannot be read, or they do not belong together, as
-        in the middle of their replacement.
+      OSError: a file cannot be read, or key and certificate do not match, e.g.
+        while they are being replaced.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(files.certificate, files.key)
@@ -66,7 +66,7 @@
 def create_server_config(
     material: TlsMaterial,
 ) -> grpc.ServerCertificateConfiguration:
-    """Returns what a server needs to prove itself and check its peers."""
+    """Returns the TLS configuration of a server for mutual TLS."""
     return grpc.ssl_server_certificate_configuration(
         [(material.key, material.certificate)],
         root_certificates=material.authority,
@@ -76,7 +76,7 @@
 def create_channel_credentials(
     material: TlsMaterial,
 ) -> grpc.ChannelCredentials:
-    """Returns what a client needs to prove itself and check its peers."""
+    """Returns the TLS credentials of a client for mutual TLS."""
     return grpc.ssl_channel_credentials(
         root_certificates=material.authority,
         private_key=material.key,
--- a/rhubarblock/fleet/peertransport.py
+++ b/rhubarblock/fleet/peertransport.py
@@ -1,8 +1,8 @@
-"""Interface of the calls between entry instances, over gRPC or in memory.
+"""Interface for calls between entry instances, over gRPC or in memory.
 
 Each subsystem registers a handler for its kind of message and serializes its
-own protobuf messages; the transport only carries bytes. All of it is soft
-state: a lost call costs time, never a promise.
+own protobuf messages; the transport only carries bytes. Calls carry soft state
+only: a lost call causes delay but never breaks a guarantee.
 """
 
 import abc
@@ -13,7 +13,7 @@
 
 
 class PeerError(Exception):
-    """A call to a peer failed; nothing is known of its effect."""
+    """A call to a peer failed; it may or may not have had an effect."""
 
 
 class PeerTransport(abc.ABC):
@@ -21,7 +21,7 @@
 
     @abc.abstractmethod
     def register(self, kind: str, handler: Handler) -> None:
-        """Lets ``handler(sender_id, payload)`` answer calls of a kind."""
+        """Registers ``handler(sender_id, payload)`` for calls of a kind."""
 
     @abc.abstractmethod
     async def call(
@@ -33,11 +33,11 @@
           address: ``host:port`` of the peer.
           kind: kind of message, e.g. ``membership.heartbeat``.
           payload: serialized message.
-          timeout_s: seconds to wait.
+          timeout_s: timeout in seconds.
 
         Returns:
-          The serialized answer.
+          The serialized response.
 
         Raises:
-          PeerError: the call failed in any way.
+          PeerError: the call failed for any reason.
         """
--- a/rhubarblock/fleet/poolkeeper.py
+++ b/rhubarblock/fleet/poolcontroller.py
@@ -1,9 +1,9 @@
-"""Keeps the engines of one pool at what the catalogue declares.
+"""Reconciles the engines of one pool with the catalogue.
 
-One instance per data centre and pool does it, by a lease. Orders state what
-an engine should run, so repeating one is harmless. What engines report is
-compared with it in every round: an engine that obeyed an older holder, that
-started anew or that lost an order is put right.
+One instance per data centre and pool does this, under a lease. Orders are
+idempotent, since they state what an engine should run. Each round compares the
+load reports with the desired state and corrects an engine that obeyed an
+earlier holder, restarted or missed an order.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.core import failure as failures
 from rhubarblock.fleet import endpoints as endpointtables
-from rhubarblock.fleet import enginework
+from rhubarblock.fleet import engineupdate
 from rhubarblock.fleet import lease as leases
-from rhubarblock.fleet import orderbook
+from rhubarblock.fleet import ordertracker
 from rhubarblock.fleet import poolrecord
 from rhubarblock.fleet import roleplan
 from rhubarblock.fleet import versionplan
-from rhubarblock.fleet import versiontrial
+from rhubarblock.fleet import versionrollout
 from rhubarblock.kernel import timers as timers_lib
 from rhubarblock.store import store as stores
 
@@ -31,30 +31,30 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class KeeperSettings:
-    """Times and numbers of a keeper.
+class PoolControllerSettings:
+    """Settings of a pool controller.
 
     Attributes:
-      round_s: seconds between two looks at the pool.
-      adapter_load_s: seconds that an engine is taken to load adapters, which
-        its load reports do not show.
-      book: times of the orders.
-      trial: numbers of version changes.
+      reconcile_interval_s: seconds between two reconciliation rounds.
+      adapter_load_s: seconds that an engine is assumed to need to load
+        adapters, since load reports do not show them.
+      order_tracker: times of the order tracker.
+      rollout: settings of version rollouts.
     """
 
-    round_s: float = 0.5
+    reconcile_interval_s: float = 0.5
     adapter_load_s: float = 2.0
-    book: orderbook.BookSettings = dataclasses.field(
-        default_factory=orderbook.BookSettings
+    order_tracker: ordertracker.OrderTrackerSettings = dataclasses.field(
+        default_factory=ordertracker.OrderTrackerSettings
     )
-    trial: versiontrial.TrialSettings = dataclasses.field(
-        default_factory=versiontrial.TrialSettings
+    rollout: versionrollout.RolloutSettings = dataclasses.field(
+        default_factory=versionrollout.RolloutSettings
     )
 
 
 @dataclasses.dataclass(slots=True)
-class KeeperCounters(versiontrial.TrialCounters):
-    """What keepers counted since their start."""
+class PoolControllerCounters(versionrollout.RolloutCounters):
+    """Counters of all pool controllers since start."""
 
     orders: int = 0
     order_failures: int = 0
@@ -64,15 +64,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pool:
-    """What a keeper keeps.
+    """The pool that a controller manages.
 
     Attributes:
       data_centre: data centre of the engines.
-      service: service of the catalogue.
+      service: name of a service in the catalogue.
       read_catalogue: returns the catalogue in force.
-      list_views: returns every endpoint known.
-      is_drained: says whether an operator drains an endpoint.
-      count_loads: returns how many engines may load at a time.
+      list_views: returns every known endpoint.
+      is_drained: returns whether an operator drains an endpoint.
+      count_loads: returns how many engines may load models at a time.
     """
 
     data_centre: str
@@ -83,108 +83,112 @@
     count_loads: Callable[[], int]
 
 
-class PoolKeeper:
-    """Gives orders to one pool while it holds the lease."""
+class PoolController:
+    """Gives orders to the engines of one pool while it holds the lease."""
 
     def __init__(
         self,
         pool: Pool,
         lease: leases.Lease,
-        record: poolrecord.RecordKeeper,
-        worker: enginework.EngineWorker,
+        record: poolrecord.PoolRecordClient,
+        updater: engineupdate.EngineUpdater,
         timers: timers_lib.Timers,
-        settings: KeeperSettings,
-        counters: KeeperCounters,
+        settings: PoolControllerSettings,
+        counters: PoolControllerCounters,
     ):
-        """Creates a keeper; ``run`` does the work.
+        """Creates a controller; ``run`` starts it.
 
         Args:
-          pool: what to keep.
+          pool: the pool to manage.
           lease: lease of this pool.
-          record: what holders leave behind.
-          worker: gives the orders.
+          record: rollout state stored for later holders.
+          updater: gives the orders.
           timers: the timer service.
-          settings: times and numbers.
-          counters: counters, shared between keepers.
+          settings: settings.
+          counters: counters, shared between controllers.
         """
         self._pool = pool
         self._lease = lease
         self._record = record
-        self._worker = worker
+        self._updater = updater
         self._timers = timers
         self._settings = settings
         self._counters = counters
-        self._book = orderbook.OrderBook(timers, settings.book)
+        self._order_tracker = ordertracker.OrderTracker(
+            timers, settings.order_tracker
+        )
         self._roles = roleplan.RolePlanner(timers)
-        self._trials = versiontrial.VersionTrials(
-            record, timers, settings.trial, counters
+        self._rollouts = versionrollout.VersionRollouts(
+            record, timers, settings.rollout, counters
         )
-        self._work: dict[str, asyncio.Task[None]] = {}
+        self._tasks: dict[str, asyncio.Task[None]] = {}
         self._loading: set[str] = set()
         self._held_since_s = 0.0
 
     async def run(self) -> None:
-        """Pursues the lease for ever and keeps the pool while it is held."""
+        """Contends for the lease and manages the pool while it is held."""
         try:
             while True:
-                if await self._lease.pursue():
-                    await self._hold()
-                await self._timers.sleep(self._settings.round_s)
+                if await self._lease.renew_or_acquire():
+                    await self._run_while_held()
+                await self._timers.sleep(self._settings.reconcile_interval_s)
         finally:
-            self._drop_work()
+            self._cancel_tasks()
             await self._lease.release()
 
     def record_state(
         self, endpoint_id: str, after: endpoints.EndpointState
     ) -> None:
-        """Takes in a change of state of any endpoint."""
+        """Handles a state change of any endpoint."""
         if after is not _State.SUSPECT or not self._lease.is_held():
             return
         for view in self._list_engines():
             if view.endpoint.endpoint_id == endpoint_id and view.report:
-                self._trials.note_suspect(view.report)
+                self._rollouts.record_suspect(view.report)
 
-    async def _hold(self) -> None:
-        """Keeps the pool until the lease is lost."""
+    async def _run_while_held(self) -> None:
+        """Manages the pool until the lease is lost."""
         try:
             await self._record.load()
         except stores.StoreError:
             self._counters.platform_failures += 1
             return
-        # Every engine gets an order at once, which also tells it the number
-        # below which it should refuse.
-        self._book.clear()
+        # Every engine gets a new order at once, from which it also learns the
+        # fencing number below which it must refuse orders.
+        self._order_tracker.clear()
         renewed_s = self._held_since_s = self._timers.read_monotonic()
         while self._lease.is_held():
-            await self._look()
-            await self._timers.sleep(self._settings.round_s)
+            await self._reconcile()
+            await self._timers.sleep(self._settings.reconcile_interval_s)
             now_s = self._timers.read_monotonic()
             if now_s - renewed_s >= self._lease.renew_s:
                 renewed_s = now_s
-                await self._lease.pursue()
+                await self._lease.renew_or_acquire()
         self._counters.leases_lost += 1
-        self._drop_work()
+        self._cancel_tasks()
 
-    async def _look(self) -> None:
-        """Compares the pool with the catalogue once."""
+    async def _reconcile(self) -> None:
+        """Runs one reconciliation round."""
         catalogue = self._pool.read_catalogue()
         service = catalogue.services.get(self._pool.service)
         if service is None:
             return
         views = self._list_engines()
         reports = [
-            self._book.correct(view.report) for view in views if view.report
+            self._order_tracker.estimate_state(view.report)
+            for view in views
+            if view.report
         ]
-        wanted = _list_wanted(catalogue, service.name)
-        plan = await self._trials.update(wanted, reports)
+        wanted = _list_wanted_versions(catalogue, service.name)
+        plan = await self._rollouts.update(wanted, reports)
         self._roles.update(service, reports)
         for view in views:
-            if view.report and self._can_attend(view):
-                report = self._book.correct(view.report)
-                self._attend(view, report, plan, catalogue)
+            if view.report and self._has_fresh_report(view):
+                report = self._order_tracker.estimate_state(view.report)
+                self._reconcile_engine(view, report, plan, catalogue)
 
     def _list_engines(self) -> list[endpointtables.EndpointView]:
-        """Returns the engines of the pool that stay, in order."""
+        """Returns the pool's engines that are not leaving, sorted by id."""
         views = [
             view
             for view in self._pool.list_views()
@@ -195,52 +199,54 @@
         ]
         return sorted(views, key=lambda view: view.endpoint.endpoint_id)
 
-    def _can_attend(self, view: endpointtables.EndpointView) -> bool:
-        """Says whether what is known of an engine is enough for an order.
+    def _has_fresh_report(self, view: endpointtables.EndpointView) -> bool:
+        """Returns whether an engine's load report allows a decision.
 
         An older report may not show yet what the last holder ordered, and an
-        order that follows from it could drop the only model.
+        order based on it could unload the only model.
         """
-        if view.endpoint.endpoint_id in self._work:
+        if view.endpoint.endpoint_id in self._tasks:
             return False
-        lag_s = self._settings.book.report_lag_s
+        lag_s = self._settings.order_tracker.report_lag_s
         now_s = self._timers.read_monotonic()
         earliest_s = max(self._held_since_s + lag_s, now_s - 2 * lag_s)
         return view.reported_s >= earliest_s
 
-    def _attend(
+    def _reconcile_engine(
         self,
         view: endpointtables.EndpointView,
         report: endpoints.LoadReport,
         plan: versionplan.VersionPlan,
         catalogue: catalogues.Catalogue,
     ) -> None:
-        """Starts what one engine needs, if anything."""
+        """Starts an update of one engine if it needs one."""
         endpoint_id = view.endpoint.endpoint_id
-        if self._book.is_waiting(endpoint_id):
+        if self._order_tracker.is_backing_off(endpoint_id):
             return
-        goal = self._make_goal(report, plan, catalogue)
-        if self._book.is_obeyed(report, goal):
+        desired = self._make_desired(report, plan, catalogue)
+        if self._order_tracker.is_satisfied(report, desired):
             return
-        has_adapters = self._book.has_adapters(report, goal)
-        if set(goal.models) - set(report.models) or not has_adapters:
+        has_adapters = self._order_tracker.has_adapters(report, desired)
+        if set(desired.models) - set(report.models) or not has_adapters:
             if len(self._loading) >= self._pool.count_loads():
                 return
             self._loading.add(endpoint_id)
         self._counters.orders += 1
-        self._counters.corrections += self._book.was_corrected(report, goal)
+        self._counters.corrections += self._order_tracker.has_drifted(
+            report, desired
+        )
         self._start(
             endpoint_id,
-            self._bring(view.endpoint, report, goal, has_adapters),
+            self._apply_desired(view.endpoint, report, desired, has_adapters),
         )
 
-    def _make_goal(
+    def _make_desired(
         self,
         report: endpoints.LoadReport,
         plan: versionplan.VersionPlan,
         catalogue: catalogues.Catalogue,
     ) -> attempts.Order:
-        """Returns the state that an engine should have now."""
+        """Returns the desired state of an engine."""
         changing = [
             model
             for model in plan.targets
@@ -251,10 +257,10 @@
             fence=self._lease.fence,
             revision=catalogue.revision,
             role=self._roles.choose_role(report.endpoint_id).value,
-            # When nothing is known to be better it keeps what it runs.
+            # Without a known target the engine keeps its models.
             models=plan.choose_models(report.models, changing) or report.models,
             adapters=_list_adapters(catalogue, self._pool.service),
-            drain=self._book.should_drain(report, is_drained),
+            drain=self._order_tracker.should_drain(report, is_drained),
         )
 
     def _may_change(
@@ -263,54 +269,54 @@
         plan: versionplan.VersionPlan,
         model: str,
     ) -> bool:
-        """Says whether an engine may go to the target of a model now."""
+        """Returns whether an engine may change to the target version now."""
         name = versionplan.name_version(model, plan.targets[model])
-        if self._trials.is_untried(name):
-            return not self._work
-        return self._trials.may_follow(name, report)
+        if self._rollouts.is_unverified(name):
+            return not self._tasks
+        return self._rollouts.may_roll_out(name, report)
 
-    async def _bring(
+    async def _apply_desired(
         self,
         endpoint: endpoints.Endpoint,
         report: endpoints.LoadReport,
-        goal: attempts.Order,
+        desired: attempts.Order,
         has_adapters: bool,
     ) -> None:
-        """Brings one engine to its goal, or notes why that failed."""
+        """Updates one engine to its desired state; records a failure."""
         is_drained = self._pool.is_drained(endpoint.endpoint_id)
         try:
-            state = await self._worker.change_models(
-                endpoint, report, goal, self._trials.is_proved
+            state = await self._updater.change_models(
+                endpoint, report, desired, self._rollouts.is_trusted
             )
-            self._book.note_given(state, goal, is_drained)
+            self._order_tracker.record_accepted(state, desired, is_drained)
             if not has_adapters:
                 await self._timers.sleep(self._settings.adapter_load_s)
-        except enginework.LeaseLostError:
+        except engineupdate.LeaseLostError:
             self._lease.abandon()
-        except enginework.VersionFailedError as error:
-            self._book.note_failed(endpoint.endpoint_id)
-            self._trials.note_failure(error)
+        except engineupdate.VersionFailedError as error:
+            self._order_tracker.record_failed(endpoint.endpoint_id)
+            self._rollouts.record_failure(error)
         except failures.FailureError:
-            self._book.note_failed(endpoint.endpoint_id)
+            self._order_tracker.record_failed(endpoint.endpoint_id)
             self._counters.order_failures += 1
         else:
-            for name in goal.models:
-                self._trials.note_proof(name)
+            for name in desired.models:
+                self._rollouts.record_verified(name)
         finally:
             self._loading.discard(endpoint.endpoint_id)
 
     def _start(self, endpoint_id: str, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
-        self._work[endpoint_id] = task
-        task.add_done_callback(lambda _: self._work.pop(endpoint_id, None))
+        self._tasks[endpoint_id] = task
+        task.add_done_callback(lambda _: self._tasks.pop(endpoint_id, None))
 
-    def _drop_work(self) -> None:
-        for task in list(self._work.values()):
+    def _cancel_tasks(self) -> None:
+        for task in list(self._tasks.values()):
             task.cancel()
         self._loading.clear()
 
 
-def _list_wanted(
+def _list_wanted_versions(
     catalogue: catalogues.Catalogue, service: str
 ) -> dict[str, str]:
     return {
--- a/rhubarblock/fleet/poolrecord.py
+++ b/rhubarblock/fleet/poolrecord.py
@@ -1,7 +1,7 @@
-"""What the holder of a pool's orders leaves behind for its successors.
+"""Rollout state of a pool, stored for later holders of its lease.
 
-It is one small object in the platform, written only when a version becomes
-the stable one or fails.
+The state is one small object in the platform, written only when a version
+becomes the stable one or fails.
 """
 
 import dataclasses
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PoolRecord:
-    """The state of version changes in one pool.
+    """Rollout state of one pool.
 
     Attributes:
-      stable: by model, the version that the whole pool last agreed on.
+      stable: by model, the version that the whole pool last ran.
       halted: by model, a version that failed and is not tried again until the
-        catalogue asks for another one.
-      reasons: by model, why that version failed.
+        catalogue requests another one.
+      reasons: by model, why the halted version failed.
     """
 
     stable: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -41,7 +41,7 @@
         )
 
     def clean(self, wanted: dict[str, str]) -> "PoolRecord":
-        """Returns the record without what the catalogue no longer asks for.
+        """Returns the record without entries that the catalogue has dropped.
 
         Args:
           wanted: version by model, from the catalogue.
@@ -69,11 +69,11 @@
 
 
 def decode(value: bytes) -> PoolRecord:
-    """Reads what ``encode`` wrote."""
+    """Returns the record in the output of ``encode``."""
     return PoolRecord(**json.loads(value))
 
 
-class RecordKeeper:
+class PoolRecordClient:
     """Reads and writes the record of one pool for the holder of its lease."""
 
     __slots__ = ("_store", "_name", "_version", "record")
@@ -81,12 +81,12 @@
     def __init__(
         self, store: stores.ObjectStore, data_centre: str, service: str
     ):
-        """Creates a keeper with an empty record.
+        """Creates a client with an empty record.
 
         Args:
           store: the platform's object API.
           data_centre: data centre of the pool.
-          service: service of the catalogue.
+          service: name of a service in the catalogue.
         """
         self._store = store
         self._name = name_record(data_centre, service)
@@ -97,7 +97,7 @@
         """Reads the record.
 
         Raises:
-          store.StoreError: the platform did not answer.
+          store.StoreError: the platform did not respond.
         """
         try:
             stored = await self._store.read(self._name)
@@ -109,11 +109,14 @@
         self.record = decode(stored.value)
 
     async def save(self, record: PoolRecord) -> None:
-        """Writes a changed record; an update of another holder goes first.
+        """Writes a changed record.
+
+        After a conflict the record of the other holder is loaded instead.
 
         Raises:
-          store.StoreError: it is not known to be written; ``record`` is what
-            was known before, and the next call may find it written.
+          store.StoreError: the write is not known to have succeeded.
+            ``record`` is then unchanged or reloaded, and the next call may
+            find the write in effect.
         """
         if record == self.record:
             return
--- a/rhubarblock/fleet/reachability.py
+++ b/rhubarblock/fleet/reachability.py
@@ -1,8 +1,8 @@
-"""Which other data centres can be reached from this one.
+"""Reachability of other data centres from this one.
 
-Only representatives talk to other data centres. Each tells its own data
-centre whom it cannot reach, and a data centre counts as cut off when every
-representative says so.
+Only representatives contact other data centres. Each reports to its own data
+centre which others it cannot reach, and a data centre counts as unreachable if
+every representative reports it.
 """
 
 from collections.abc import Iterable
@@ -17,15 +17,15 @@
 
 
 class Reachability:
-    """The reports of the representatives, this instance's own among them."""
+    """Reachability reports of the representatives and of this instance."""
 
     __slots__ = ("_own_id", "_reports")
 
     def __init__(self, own_id: str):
-        """Creates it without reports.
+        """Creates an empty set of reports.
 
         Args:
-          own_id: this instance.
+          own_id: id of this instance.
         """
         self._own_id = own_id
         self._reports: dict[str, frozenset[str]] = {own_id: frozenset()}
@@ -36,14 +36,14 @@
         return self._reports[self._own_id]
 
     def set_own(self, data_centre: str, reachable: bool) -> bool:
-        """Notes whether this instance can reach another data centre.
+        """Records whether this instance can reach another data centre.
 
         Args:
           data_centre: the other data centre.
-          reachable: whether a call got through.
+          reachable: whether a call succeeded.
 
         Returns:
-          Whether this changes what was noted before.
+          Whether this changes what was recorded before.
         """
         before = self.own_report
         after = before - {data_centre} if reachable else before | {data_centre}
@@ -59,18 +59,18 @@
         )
         return True
 
-    def take_report(
+    def update_report(
         self, instance_id: str, unreachable: Iterable[str] | None
     ) -> bool:
-        """Takes in the report of a peer.
+        """Stores or removes the report of a peer.
 
         Args:
-          instance_id: the peer.
-          unreachable: data centres that it cannot reach; None when it is no
+          instance_id: id of the peer.
+          unreachable: data centres that it cannot reach; None if it is no
             representative.
 
         Returns:
-          Whether this changes anything.
+          Whether the stored report changed.
         """
         before = self._reports.get(instance_id)
         if unreachable is None:
@@ -80,7 +80,7 @@
         return self._reports.get(instance_id) != before
 
     def forget(self, instance_id: str) -> None:
-        """Drops the report of an instance that is gone."""
+        """Removes the report of an instance that is gone."""
         self._reports.pop(instance_id, None)
 
     def list_unreachable(
@@ -89,7 +89,7 @@
         """Returns the data centres that no representative can reach.
 
         Args:
-          representatives: ids of those of this data centre.
+          representatives: ids of the representatives of this data centre.
         """
         reports = [
             self._reports[instance_id]
--- a/rhubarblock/fleet/readpacing.py
+++ b/rhubarblock/fleet/readpacing.py
@@ -1,8 +1,8 @@
-"""Lets connections be read only once an interval.
+"""Limits reads from a connection to one per interval.
 
-Tokens of one answer come every few milliseconds. Reading each by itself costs
-a wake-up, a read and a write; a connection that rests for a moment is read for
-several tokens at once. One timer serves all connections.
+Tokens of an answer arrive every few milliseconds. Reading each one separately
+costs a wake-up, a read and a write; after a short pause one read returns
+several tokens. One timer serves all connections.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 
 from rhubarblock.kernel import timers as timer_service
 
-# Ticks in an interval; a connection rests up to one tick less than it.
+# Ticks per interval; a pause may be up to one tick shorter than the interval.
 TICKS = 4
 
 
 class ReadPacer:
-    """Connections at rest."""
+    """Pauses reading from connections."""
 
     __slots__ = ("_slots", "_tick_s", "_timers")
 
@@ -24,22 +24,22 @@
 
         Args:
           timers: timer service.
-          interval_s: longest rest in seconds.
+          interval_s: longest pause in seconds.
         """
         self._timers = timers
         self._tick_s = interval_s / TICKS
-        # The connections that end their rest with each of the next ticks; as
-        # long as there are any, a timer runs.
+        # The connections to resume at each of the next ticks. The timer runs
+        # while there are any.
         self._slots: collections.deque[list[asyncio.ReadTransport]] = (
             collections.deque()
         )
 
-    def rest(self, transport: asyncio.ReadTransport) -> None:
-        """Stops the reading of a connection until its rest is over.
+    def pause(self, transport: asyncio.ReadTransport) -> None:
+        """Pauses reading from a connection for about the interval.
 
         Args:
-          transport: a connection whose data has all been taken, so that
-            nothing else holds its reading up or wants it to go on.
+          transport: a connection whose received data has all been consumed,
+            so that nothing else pauses or resumes its reading meanwhile.
         """
         if not self._slots:
             self._slots.extend([] for _ in range(TICKS))
--- a/rhubarblock/fleet/readpacing_test.py
+++ b/rhubarblock/fleet/readpacing_test.py
@@ -4,7 +4,7 @@
 
 
 class Transport:
-    """Notes when its reading was stopped and went on."""
+    """Records when reading was paused and resumed."""
 
     def __init__(self, timers, log, name):
         self._timers = timers
@@ -22,27 +22,27 @@
         self._log.append((now_s, self._name, what))
 
 
-def run(*rests, interval_s=0.02):
-    """Rests connections, given as (time, name); returns what happened."""
+def run(*pauses, interval_s=0.02):
+    """Pauses connections, given as (time, name); returns the log."""
     timers = timer_service.LoopTimers()
     log = []
 
     async def main():
         pacer = readpacing.ReadPacer(timers, interval_s)
-        for at_s, name in rests:
+        for at_s, name in pauses:
             await timers.sleep(at_s - timers.read_monotonic())
-            pacer.rest(Transport(timers, log, name))
+            pacer.pause(Transport(timers, log, name))
         await timers.sleep(1.0)
 
     virtualloop.run(main())
     return log
 
 
-def test_a_connection_rests_for_the_interval():
+def test_connection_is_paused_for_the_interval():
     assert run((0.1, "a")) == [(0.1, "a", "pause"), (0.12, "a", "resume")]
 
 
-def test_another_one_rests_up_to_a_tick_less():
+def test_second_connection_is_paused_up_to_a_tick_less():
     assert run((0.0, "a"), (0.007, "b")) == [
         (0.0, "a", "pause"),
         (0.007, "b", "pause"),
@@ -51,6 +51,6 @@
     ]
 
 
-def test_nothing_runs_while_no_connection_rests():
+def test_timer_stops_while_no_connection_is_paused():
     log = run((0.0, "a"), (0.5, "b"))
     assert log[2:] == [(0.5, "b", "pause"), (0.52, "b", "resume")]
--- a/rhubarblock/fleet/rendezvous.py
+++ b/rhubarblock/fleet/rendezvous.py
@@ -1,7 +1,7 @@
 """Scores for rendezvous hashing.
 
-Whoever knows the same names computes the same scores, and a name that comes or
-goes changes no score of the others.
+All instances compute the same scores from the same names, and a name that is
+added or removed changes no score of the others.
 """
 
 import functools
@@ -14,7 +14,7 @@
 
 @functools.lru_cache(maxsize=_CACHED_SCORES)
 def compute_score(key: str, instance_id: str) -> int:
-    """Returns the score of an instance for a key; the highest one holds it."""
+    """Returns the score of an instance for a key; the highest one wins."""
     digest = hashlib.blake2b(
         instance_id.encode(), digest_size=_SCORE_BYTES, key=_shorten_key(key)
     )
@@ -22,9 +22,9 @@
 
 
 def compute_share(key: str, instance_id: str) -> float:
-    """Returns the score of an instance for a key as a share of the highest.
+    """Returns the score of an instance for a key as a share of the range.
 
-    Over many instances the shares are spread evenly from 0 up to 1.
+    Over many instances the shares are uniformly distributed in [0, 1).
     """
     return compute_score(key, instance_id) / _SCORES
 
--- a/rhubarblock/fleet/roleplan.py
+++ b/rhubarblock/fleet/roleplan.py
@@ -1,7 +1,8 @@
-"""Follows the load of a pool and gives its engines their roles.
+"""Assigns prefill and decode roles to a pool's engines by its load.
 
-The plan changes only when the load asked for it during a while, and by one
-engine at a time, as each change costs the prefix cache of an engine its use.
+The plan changes only if the load requires it for some time, and by one engine
+at a time, because an engine that changes its role loses the benefit of its
+prefix cache.
 """
 
 from rhubarblock.core import catalogue as catalogues
@@ -10,12 +11,12 @@
 from rhubarblock.fleet import roles
 from rhubarblock.kernel import timers as timers_lib
 
-# Weight of the newest load report in the smoothed load.
+# Weight of the newest load reports in the exponential moving average.
 _SMOOTHING = 0.05
-# Seconds for which the load must ask for another split.
+# Seconds for which the load must require another split.
 _HYSTERESIS_S = 30.0
-# Seconds in which a backlog of prompt tokens should be computed, which turns
-# it into a rate.
+# Seconds within which a backlog of prompt tokens should be computed; converts
+# the backlog to a rate.
 _BACKLOG_S = 1.0
 
 
@@ -26,12 +27,12 @@
         "_timers",
         "_demand",
         "_decode",
-        "_steady_s",
+        "_matched_s",
         "_decoders",
     )
 
     def __init__(self, timers: timers_lib.Timers):
-        """Creates a planner; every engine does both at first.
+        """Creates a planner; every engine has role BOTH at first.
 
         Args:
           timers: the timer service.
@@ -39,7 +40,7 @@
         self._timers = timers
         self._demand = roles.Demand()
         self._decode = 0
-        self._steady_s = timers.read_monotonic()
+        self._matched_s = timers.read_monotonic()
         self._decoders: set[str] = set()
 
     def update(
@@ -47,10 +48,10 @@
         service: catalogues.Service,
         reports: list[endpoints.LoadReport],
     ) -> None:
-        """Takes in the load of the pool.
+        """Updates the plan from the load of the pool.
 
         Args:
-          service: entry of the catalogue, which may fix the split.
+          service: catalogue entry, whose decode share may fix the split.
           reports: load reports of the engines.
         """
         self._demand = _smooth(self._demand, reports)
@@ -58,7 +59,7 @@
         if service.decode_share >= 0.0:
             self._decode = roles.plan_fixed_roles(count, service.decode_share)
         else:
-            self._follow_load(count)
+            self._plan_by_load(count)
         ranked = sorted(
             (report.endpoint_id for report in reports),
             key=lambda name: rendezvous.compute_score(service.name, name),
@@ -73,20 +74,20 @@
             return endpoints.Role.DECODE
         return endpoints.Role.PREFILL
 
-    def _follow_load(self, count: int) -> None:
-        asked = roles.plan_roles(count, self._demand)
+    def _plan_by_load(self, count: int) -> None:
+        planned = roles.plan_roles(count, self._demand)
         now_s = self._timers.read_monotonic()
-        if asked == self._decode:
-            self._steady_s = now_s
-        elif now_s - self._steady_s >= _HYSTERESIS_S:
-            self._decode = self._step(asked)
-            self._steady_s = now_s
+        if planned == self._decode:
+            self._matched_s = now_s
+        elif now_s - self._matched_s >= _HYSTERESIS_S:
+            self._decode = self._limit_step(planned)
+            self._matched_s = now_s
 
-    def _step(self, asked: int) -> int:
-        """Moves by one engine, or at once into or out of a split."""
-        if asked == 0 or self._decode == 0:
-            return asked
-        return self._decode + (1 if asked > self._decode else -1)
+    def _limit_step(self, planned: int) -> int:
+        """Moves one engine at a time, except into or out of a split."""
+        if planned == 0 or self._decode == 0:
+            return planned
+        return self._decode + (1 if planned > self._decode else -1)
 
 
 def _smooth(
@@ -94,14 +95,16 @@
 ) -> roles.Demand:
     backlog = sum(report.prefill_tokens for report in reports)
     return roles.Demand(
-        _mix(before.prefill_tokens_per_s, backlog / _BACKLOG_S),
-        _mix(
+        _smooth_value(before.prefill_tokens_per_s, backlog / _BACKLOG_S),
+        _smooth_value(
             before.decode_concurrency,
             sum(report.decoding for report in reports),
         ),
-        _mix(before.kv_tokens, sum(report.kv_used for report in reports)),
+        _smooth_value(
+            before.kv_tokens, sum(report.kv_used for report in reports)
+        ),
     )
 
 
-def _mix(before: float, latest: float) -> float:
+def _smooth_value(before: float, latest: float) -> float:
     return before + _SMOOTHING * (latest - before)
--- a/rhubarblock/fleet/roleplan_test.py
+++ b/rhubarblock/fleet/roleplan_test.py
@@ -26,11 +26,11 @@
 
 
 def run(share, loads):
-    """Returns the number of decoding engines at the end of each load.
+    """Returns the number of decode engines at the end of each load phase.
 
     Args:
       share: decode share of the service.
-      loads: seconds, prefill tokens and decodes of each engine.
+      loads: load phases as seconds, prefill tokens and decodes per engine.
     """
 
     async def main():
@@ -52,12 +52,12 @@
     return virtualloop.run(main())
 
 
-def test_fixed_share_holds_at_once():
+def test_fixed_share_applies_at_once():
     assert run(0.25, [(1, 0, 0)]) == [2]
     assert run(0.0, [(1, 0, 0)]) == [0]
 
 
-def test_load_must_ask_for_a_split_for_a_while():
+def test_split_needs_sustained_load():
     busy = (28_000, 50)
     assert run(-1.0, [(20, *busy), (60, *busy)]) == [0, 2]
 
--- a/rhubarblock/fleet/roles.py
+++ b/rhubarblock/fleet/roles.py
@@ -1,26 +1,26 @@
-"""How many engines of a pool compute prompts and how many generate tokens.
+"""Plans how many engines of a pool prefill and how many decode.
 
-Engines with one role of each kind keep long prompts from slowing down the
-tokens of other requests, at the price of passing KV cache on. A split only
-pays when each side has work for at least one engine.
+Separate prefill and decode engines keep long prompts from slowing down the
+decoding of other requests, at the cost of transferring the KV cache. A split
+only pays if each side has work for at least one engine.
 """
 
 import dataclasses
 
-# Engines below which a split would leave a side without a spare.
-_LEAST_ENGINES = 4
-# Share of its rate up to which an engine is planned to be busy.
-_PLANNED_LOAD = 0.7
+# With fewer engines a split would leave a side without a spare.
+_MIN_ENGINES = 4
+# Planned utilisation of an engine, as a share of its maximum rate.
+_TARGET_UTILISATION = 0.7
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Demand:
-    """The load of a pool, smoothed over some time.
+    """Smoothed load of a pool.
 
     Attributes:
-      prefill_tokens_per_s: prompt tokens to be computed in a second.
-      decode_concurrency: requests that generate tokens at a time.
-      kv_tokens: KV memory held by them all, in tokens.
+      prefill_tokens_per_s: prompt tokens to compute per second.
+      decode_concurrency: number of requests decoding concurrently.
+      kv_tokens: KV memory used in total, in tokens.
     """
 
     prefill_tokens_per_s: float = 0.0
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineRates:
-    """What one engine can do.
+    """Capacity of one engine.
 
     Attributes:
-      prefill_tokens_per_s: prompt tokens that it computes in a second.
+      prefill_tokens_per_s: prompt tokens computed per second.
       iteration_s: fixed time of one iteration in seconds.
-      decode_s: time that each generating request adds to it, in seconds.
-      gap_s: longest time wanted between two tokens, in seconds.
-      kv_tokens: KV memory in tokens.
+      decode_s: time that each decoding request adds to it, in seconds.
+      gap_s: target for the longest gap between two tokens, in seconds.
+      kv_tokens: size of the KV memory in tokens.
     """
 
     prefill_tokens_per_s: float = 40_000.0
@@ -53,29 +53,29 @@
     """Plans the split of a pool by its load.
 
     Args:
-      engine_count: engines of the pool.
-      demand: its load.
-      rates: what one engine can do.
+      engine_count: number of engines in the pool.
+      demand: load of the pool.
+      rates: capacity of one engine; None uses the defaults.
 
     Returns:
-      The number of engines that only generate; the others only compute
-      prompts. 0 means that every engine does both.
+      The number of decode engines; the others are prefill engines. 0 means
+      that every engine does both.
     """
     rates = rates or EngineRates()
     prefill = _count_for_prefill(demand, rates)
     decode = _count_for_decode(demand, rates)
-    if engine_count < _LEAST_ENGINES or min(prefill, decode) < 1.0:
+    if engine_count < _MIN_ENGINES or min(prefill, decode) < 1.0:
         return 0
     planned = round(engine_count * decode / (prefill + decode))
     return max(1, min(engine_count - 1, planned))
 
 
 def plan_fixed_roles(engine_count: int, decode_share: float) -> int:
-    """Plans a split whose share the catalogue gives.
+    """Plans a split with the share given by the catalogue.
 
     Args:
-      engine_count: engines of the pool.
-      decode_share: share of engines that only generate.
+      engine_count: number of engines in the pool.
+      decode_share: share of decode engines.
 
     Returns:
       As ``plan_roles``.
@@ -87,12 +87,12 @@
 
 
 def _count_for_prefill(demand: Demand, rates: EngineRates) -> float:
-    usable = rates.prefill_tokens_per_s * _PLANNED_LOAD
+    usable = rates.prefill_tokens_per_s * _TARGET_UTILISATION
     return demand.prefill_tokens_per_s / usable
 
 
 def _count_for_decode(demand: Demand, rates: EngineRates) -> float:
-    """Returns the engines that the gap and the memory ask for."""
+    """Returns the engines required by the token gap or the KV memory."""
     by_gap = (rates.gap_s - rates.iteration_s) / rates.decode_s
-    by_memory = rates.kv_tokens * _PLANNED_LOAD
+    by_memory = rates.kv_tokens * _TARGET_UTILISATION
     return max(demand.decode_concurrency / by_gap, demand.kv_tokens / by_memory)
--- a/rhubarblock/fleet/serviceclient.py
+++ b/rhubarblock/fleet/serviceclient.py
@@ -1,4 +1,4 @@
-"""Interface to the plain services beside the engines."""
+"""Interface to plain services, i.e. endpoints that are no engines."""
 
 import abc
 
@@ -12,13 +12,13 @@
     async def send(
         self, address: str, call: requests.ServiceCall, attempt_id: str
     ) -> requests.ServiceAnswer:
-        """Sends the call once and returns the whole answer.
+        """Sends the call at most once and returns the complete answer.
 
         Args:
           address: ``host:port`` of the endpoint.
           call: what to send.
           attempt_id: echoed by the service; an answer with another id is
-            dropped.
+            rejected.
 
         Raises:
           failure.FailureError: the verdict says whether the call may have run.
--- a/rhubarblock/fleet/softstate.py
+++ b/rhubarblock/fleet/softstate.py
@@ -1,7 +1,7 @@
-"""Small soft state that other subsystems let travel with heartbeats.
+"""Small soft state of other subsystems, piggybacked on heartbeats.
 
-It reaches the instances that this one happens to talk to, each within some
-seconds, and no others. What must reach a certain instance needs a call.
+The state reaches only the instances with which this one exchanges heartbeats,
+within some seconds. Data that must reach a particular instance needs a call.
 """
 
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 
 from rhubarblock.fleet.membership import member as members
 
-# Most bytes of one subsystem, and most subsystems: together they bound the
+# Largest state of one subsystem, and most subsystems. Together they bound the
 # size of a heartbeat.
-LIMIT_BYTES = 64
-LIMIT_COUNT = 4
+MAX_BYTES = 64
+MAX_SUBSYSTEMS = 4
 
 Callback = Callable[[members.Member, bytes], None]
 
 
 class SoftState:
-    """What this instance lets travel, and who hears that of others."""
+    """Soft state of this instance, and subscribers to that of peers."""
 
     __slots__ = ("_contents", "_callbacks")
 
@@ -30,26 +30,26 @@
 
     @property
     def contents(self) -> Mapping[str, bytes]:
-        """What travels with the next heartbeat, by subsystem."""
+        """State sent with the next heartbeat, by subsystem."""
         return self._contents
 
     def set(self, subsystem: str, content: bytes) -> None:
-        """Lets soft state travel with each heartbeat from now on.
+        """Sets the state that is sent with each heartbeat from now on.
 
         Args:
-          subsystem: name that receivers subscribe to.
-          content: at most ``LIMIT_BYTES``; empty ends it.
+          subsystem: name to which receivers subscribe.
+          content: the state, at most ``MAX_BYTES`` long; empty removes it.
 
         Raises:
-          ValueError: it is too large, or there are too many subsystems.
+          ValueError: the state is too large, or too many subsystems have one.
         """
-        if len(content) > LIMIT_BYTES:
+        if len(content) > MAX_BYTES:
             raise ValueError(f"soft state of {subsystem} is too large")
         if not content:
             self._contents.pop(subsystem, None)
             return
         is_new = subsystem not in self._contents
-        if is_new and len(self._contents) >= LIMIT_COUNT:
+        if is_new and len(self._contents) >= MAX_SUBSYSTEMS:
             raise ValueError("too many subsystems with soft state")
         self._contents[subsystem] = content
 
@@ -59,7 +59,7 @@
 
         Args:
           subsystem: name under which it was set.
-          callback: gets the sender and the content.
+          callback: called with the sender and its state.
 
         Yields:
           Nothing.
@@ -73,7 +73,7 @@
     def deliver(
         self, sender: members.Member, contents: Mapping[str, bytes]
     ) -> None:
-        """Hands what came with a heartbeat to its subscribers.
+        """Passes the soft state in a heartbeat to its subscribers.
 
         Args:
           sender: the instance that sent it.
--- a/rhubarblock/fleet/tokenevents.py
+++ b/rhubarblock/fleet/tokenevents.py
@@ -1,9 +1,9 @@
-"""Reads the pieces of an answer out of blocks of server-sent events.
+"""Reads answer chunks from blocks of server-sent events.
 
-Nearly all events hold one token and differ in nothing but its offset and its
-text. The joining reader takes these two out with one regular expression, which
-also checks the form, and joins runs of tokens into one piece. All other events
-are parsed as JSON.
+Nearly all events hold one token and differ only in its offset and text. The
+joining reader extracts these two with a regular expression, which also
+validates the event, and joins consecutive tokens into one chunk. All other
+events are parsed as JSON.
 """
 
 import abc
@@ -13,8 +13,8 @@
 from rhubarblock.core import attempt as attempts
 from rhubarblock.fleet import enginewire
 
-# The event of one token, exactly as docs/standins.md has it. Possessive
-# repeats keep the time linear whatever comes.
+# The event of one token, exactly as specified in docs/standins.md. Possessive
+# quantifiers keep the matching time linear for any input.
 _TOKEN_EVENT = re.compile(
     rb'data: \{"id":"[^"\\]*+","attempt":"([^"]*+)","offset":(\d++),'
     rb'"object":"text_completion","created":\d++,"model":"[^"\\]*+",'
@@ -29,15 +29,15 @@
 
     @abc.abstractmethod
     def read(self, block: bytes) -> list[attempts.Chunk]:
-        """Returns the pieces in a block of whole events.
+        """Returns the chunks in a block of whole events.
 
         Raises:
-          ValueError: an event isn't of the protocol.
+          ValueError: an event violates the protocol.
         """
 
 
 class ParsingReader(EventReader):
-    """Parses every event; each gives a piece."""
+    """Parses every event as JSON and returns a chunk for each."""
 
     __slots__ = ()
 
@@ -48,10 +48,10 @@
 
 
 class JoiningReader(EventReader):
-    """Takes tokens out as bytes; a run of them gives one piece.
+    """Extracts tokens as bytes and joins consecutive ones into one chunk.
 
-    Only tokens that follow each other without gap or repeat are joined, so
-    that whoever checks the order finds what is out of it in a piece of its own.
+    Only tokens with consecutive offsets are joined. A repeated token or one
+    after a gap is a separate chunk, so that a caller can check the order.
     """
 
     __slots__ = ("_attempt_id", "_escaped_id", "_next")
@@ -83,16 +83,16 @@
                 end = block.index(enginewire.EVENT_END, position)
                 chunk = enginewire.parse_event(block[position:end])
                 if chunk is not None:
-                    self._follow(chunk)
+                    self._advance(chunk)
                     chunks.append(chunk)
                 position = end + len(enginewire.EVENT_END)
         return chunks
 
     def _continues(self, match: re.Match[bytes]) -> bool:
-        """Says whether an event holds the next token of this answer."""
+        """Returns whether an event holds the next token of this answer."""
         return match[1] == self._escaped_id and int(match[2]) == self._next
 
-    def _follow(self, chunk: attempts.Chunk) -> None:
+    def _advance(self, chunk: attempts.Chunk) -> None:
         if chunk.attempt_id == self._attempt_id and chunk.index == self._next:
             self._next += chunk.count
 
--- a/rhubarblock/fleet/tokenevents_test.py
+++ b/rhubarblock/fleet/tokenevents_test.py
@@ -13,7 +13,7 @@
 
 
 def make_event(offset, text, attempt="r/1", finish=None, ascii_only=True):
-    """Returns an event in the form of docs/standins.md."""
+    """Returns an event as specified in docs/standins.md."""
     fields = {
         "id": attempt.rpartition("/")[0],
         "attempt": attempt,
@@ -42,19 +42,19 @@
     return tokenevents.JoiningReader(attempt).read(b"".join(events))
 
 
-def test_a_run_of_tokens_is_one_piece():
+def test_consecutive_tokens_are_joined():
     chunks = read(make_event(0, " a"), make_event(1, " b"), make_event(2, "c"))
     assert chunks == [attempts.Chunk("r/1", 0, 3, " a bc")]
     assert chunks[0].raw == b" a bc"
 
 
-def test_runs_go_on_over_blocks():
+def test_offsets_continue_across_blocks():
     reader = tokenevents.JoiningReader(ATTEMPT)
     assert reader.read(make_event(0, "a"))[0].index == 0
     assert reader.read(make_event(1, "b"))[0].index == 1
 
 
-def test_a_resumed_answer_begins_at_its_first_token():
+def test_resumed_answer_starts_at_its_first_token():
     resumed = attempts.Attempt(
         "r/2", "entry/1", "m", "", 7, (), "d", 9, resume_from=4
     )
@@ -62,7 +62,7 @@
     assert read(*events, attempt=resumed) == [attempts.Chunk("r/2", 4, 2, "ab")]
 
 
-def test_a_repeat_is_a_piece_of_its_own():
+def test_repeated_token_is_a_separate_chunk():
     assert read(make_event(0, "a"), make_event(0, "a"), make_event(1, "b")) == [
         attempts.Chunk("r/1", 0, 1, "a"),
         attempts.Chunk("r/1", 0, 1, "a"),
@@ -70,12 +70,12 @@
     ]
 
 
-def test_what_follows_a_gap_is_not_joined():
+def test_tokens_after_a_gap_are_not_joined():
     chunks = read(make_event(0, "a"), make_event(2, "c"), make_event(3, "d"))
     assert [(x.index, x.count) for x in chunks] == [(0, 1), (2, 1), (3, 1)]
 
 
-def test_an_event_of_another_attempt_keeps_its_id():
+def test_event_of_another_attempt_keeps_its_id():
     chunks = read(make_event(0, "x", "q/1"), make_event(0, "a"))
     assert chunks == [
         attempts.Chunk("q/1", 0, 1, "x"),
@@ -83,7 +83,7 @@
     ]
 
 
-def test_the_end_is_parsed():
+def test_end_event_is_parsed():
     end = make_event(1, "b", finish="length")
     assert read(make_event(0, "a"), end, b"data: [DONE]\n\n") == [
         attempts.Chunk("r/1", 0, 1, "a"),
@@ -91,13 +91,13 @@
     ]
 
 
-def test_an_escaped_text_is_kept_escaped_for_the_caller():
+def test_escaped_text_is_kept_as_raw():
     (chunk,) = read(make_event(0, 'say "ü"\n'))
     assert chunk.text == 'say "ü"\n'
     assert chunk.raw == b'say \\"\\u00fc\\"\\n'
 
 
-def test_halves_of_a_character_in_two_tokens_are_joined():
+def test_surrogate_halves_in_two_tokens_are_joined():
     first, second = make_event(0, "\ud83d"), make_event(1, "\ude00")
     assert read(first, second)[0].text == "\U0001f600"
 
@@ -111,12 +111,12 @@
         make_event(0, "a").replace(b'"a"', b'"\\q"'),
     ],
 )
-def test_what_is_no_event_is_refused(event):
+def test_malformed_token_event_raises(event):
     with pytest.raises(ValueError):
         read(event)
 
 
-def test_an_error_in_an_event_is_raised():
+def test_error_event_raises():
     event = (
         b'data: {"error":{"code":"endpoint_failed","message":"m",'
         b'"verdict":"MAY_HAVE_RUN"}}\n\n'
@@ -136,7 +136,7 @@
     strategies.booleans(),
     strategies.integers(0, 6),
 )
-def test_both_readers_give_the_same_answer(texts, ascii_only, cut):
+def test_both_readers_return_the_same_text(texts, ascii_only, cut):
     events = [
         make_event(number, text, ascii_only=ascii_only)
         for number, text in enumerate(texts)
--- a/rhubarblock/fleet/versionplan.py
+++ b/rhubarblock/fleet/versionplan.py
@@ -1,7 +1,7 @@
-"""Which versions an engine should run now, while a version changes.
+"""Decides which model versions an engine should run during a rollout.
 
-A pure decision: from what the catalogue wants, what the pool agreed on and
-what failed. ``fleet.poolkeeper`` carries it out.
+The decision is a pure function of the versions in the catalogue, the stable
+versions of the pool and the halted ones. ``fleet.poolcontroller`` executes it.
 """
 
 import collections
@@ -18,35 +18,35 @@
 
 
 def list_versions(loaded: Iterable[str], model: str) -> list[str]:
-    """Returns the versions of a model among the names that are loaded."""
+    """Returns the versions of a model among loaded names."""
     found = (name.partition("@") for name in loaded)
     return [version for name, _, version in found if name == model]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class VersionPlan:
-    """The versions of one pool.
+    """Target and stable versions of one pool.
 
     Attributes:
-      targets: by model, the version to go to.
-      stable: by model, the version to stay with meanwhile.
+      targets: by model, the version to change to.
+      stable: by model, the version to keep until an engine may change.
     """
 
     targets: dict[str, str]
     stable: dict[str, str]
 
     def is_changing(self, model: str) -> bool:
-        """Says whether a model is on its way to another version."""
+        """Returns whether a rollout of a model is in progress."""
         return self.targets[model] != self.stable.get(model)
 
     def choose_models(
         self, loaded: Iterable[str], may_change: Iterable[str]
     ) -> tuple[str, ...]:
-        """Chooses what one engine should have loaded in the end.
+        """Chooses the models that one engine should have loaded.
 
         Args:
-          loaded: what it has loaded.
-          may_change: models whose target the engine may go to now.
+          loaded: names that it has loaded.
+          may_change: models that the engine may change to their target now.
 
         Returns:
           Names of versions, in the order of the catalogue.
@@ -57,17 +57,17 @@
         for model, target in self.targets.items():
             versions = [target]
             if self.is_changing(model) and model not in allowed:
-                versions = self._choose_present(loaded, model)
+                versions = self._choose_unchanged(loaded, model)
             chosen += [name_version(model, version) for version in versions]
         return tuple(chosen)
 
-    def _choose_present(self, loaded: list[str], model: str) -> list[str]:
+    def _choose_unchanged(self, loaded: list[str], model: str) -> list[str]:
         present = list_versions(loaded, model)
         stable = self.stable.get(model)
         if stable is None:
             return present
         if present == [self.targets[model]]:
-            # It has changed already.
+            # The engine has already changed to the target.
             return present
         return [stable]
 
@@ -77,36 +77,37 @@
     record: poolrecord.PoolRecord,
     reports: list[endpoints.LoadReport],
 ) -> VersionPlan:
-    """Makes the plan of a pool.
+    """Computes the version plan of a pool.
 
     Args:
       wanted: version by model, from the catalogue.
-      record: what the pool agreed on and what failed.
+      record: stable and halted versions of the pool.
       reports: load reports of its engines.
 
     Returns:
-      The plan; without a stable version for a model that no engine has.
+      The plan. A model that neither the record nor any engine has gets no
+      stable version.
     """
     stable = {}
     targets = {}
     for model, version in wanted.items():
         halted = record.halted.get(model)
-        agreed = record.stable.get(model)
-        if agreed is None:
-            agreed = _find_common(model, halted, reports)
-        if agreed is not None:
-            stable[model] = agreed
+        baseline = record.stable.get(model)
+        if baseline is None:
+            baseline = _find_common(model, halted, reports)
+        if baseline is not None:
+            stable[model] = baseline
         if version != halted:
             targets[model] = version
-        elif agreed is not None:
-            targets[model] = agreed
+        elif baseline is not None:
+            targets[model] = baseline
     return VersionPlan(targets, stable)
 
 
-def is_settled(
+def is_rolled_out(
     plan: VersionPlan, model: str, reports: list[endpoints.LoadReport]
 ) -> bool:
-    """Says whether every engine runs the target of a model and no other."""
+    """Returns whether every engine runs only the target of a model."""
     target = plan.targets[model]
     return bool(reports) and all(
         list_versions(report.models, model) == [target] for report in reports
@@ -116,7 +117,7 @@
 def _find_common(
     model: str, halted: str | None, reports: list[endpoints.LoadReport]
 ) -> str | None:
-    """Returns the version that most engines have, None if none has any."""
+    """Returns the most common version of a model, or None."""
     counts = collections.Counter(
         version
         for report in reports
--- a/rhubarblock/fleet/versiontrial.py
+++ b/rhubarblock/fleet/versionrollout.py
@@ -1,15 +1,15 @@
-"""What new versions have shown so far, and whether a change goes on.
+"""Tracks the rollout of new model versions in a pool.
 
-The first engine goes to a new version alone. If it serves it for a while, the
-others follow; if the version fails, the change stops and is kept as stopped
-in the platform, for successors too.
+One engine changes to a new version first. After it has served the version for
+the bake time, the others follow. If the version fails, the rollout halts, and
+the halt is stored in the platform so that later holders respect it.
 """
 
 import dataclasses
 import logging
 
 from rhubarblock.core import endpoint as endpoints
-from rhubarblock.fleet import enginework
+from rhubarblock.fleet import engineupdate
 from rhubarblock.fleet import poolrecord
 from rhubarblock.fleet import versionplan
 from rhubarblock.kernel import logs
@@ -20,12 +20,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class TrialSettings:
-    """Numbers of a version change.
+class RolloutSettings:
+    """Settings of a rollout.
 
     Attributes:
       bake_s: seconds for which the first engine serves a new version alone.
-      failures_limit: failures laid to a new version that stop its change.
+      failures_limit: failures attributed to a new version that halt its
+        rollout.
     """
 
     bake_s: float = 10.0
@@ -33,106 +34,110 @@
 
 
 @dataclasses.dataclass(slots=True)
-class TrialCounters:
-    """What trials counted since their start."""
+class RolloutCounters:
+    """Counters of rollouts since start."""
 
-    versions_proved: int = 0
+    versions_verified: int = 0
     versions_halted: int = 0
     platform_failures: int = 0
 
 
-class VersionTrials:
-    """The new versions of one pool."""
+class VersionRollouts:
+    """Rollouts of new versions in one pool."""
 
     __slots__ = (
         "_record",
         "_timers",
         "_settings",
-        "_proved_s",
-        "_blame",
+        "_verified_s",
+        "_failure_counts",
         "_counters",
     )
 
     def __init__(
         self,
-        record: poolrecord.RecordKeeper,
+        record: poolrecord.PoolRecordClient,
         timers: timers_lib.Timers,
-        settings: TrialSettings,
-        counters: TrialCounters,
+        settings: RolloutSettings,
+        counters: RolloutCounters,
     ):
-        """Creates the trials without anything shown.
+        """Creates the tracker without any results.
 
         Args:
-          record: what holders leave behind.
+          record: rollout state stored for later holders.
           timers: the timer service.
-          settings: numbers.
+          settings: settings.
           counters: counters, shared between pools.
         """
         self._record = record
         self._timers = timers
         self._settings = settings
-        self._proved_s: dict[str, float] = {}
-        self._blame: dict[str, int] = {}
+        self._verified_s: dict[str, float] = {}
+        self._failure_counts: dict[str, int] = {}
         self._counters = counters
 
-    def is_proved(self, name: str) -> bool:
-        """Says whether a version needs no prompt of ours any more."""
-        return not self._is_new(name) or name in self._proved_s
+    def is_trusted(self, name: str) -> bool:
+        """Returns whether a loaded version needs no canary prompt."""
+        return not self._is_new(name) or name in self._verified_s
 
-    def may_follow(self, name: str, report: endpoints.LoadReport) -> bool:
-        """Says whether an engine may go where another one went before.
+    def may_roll_out(self, name: str, report: endpoints.LoadReport) -> bool:
+        """Returns whether an engine may follow the first one to a version.
 
         Args:
           name: the version.
-          report: what the engine runs.
+          report: load report of the engine.
         """
-        proved_s = self._proved_s.get(name)
-        if proved_s is None:
+        verified_s = self._verified_s.get(name)
+        if verified_s is None:
             return False
-        age_s = self._timers.read_monotonic() - proved_s
+        age_s = self._timers.read_monotonic() - verified_s
         return age_s >= self._settings.bake_s or name in report.models
 
-    def is_untried(self, name: str) -> bool:
-        """Says whether no engine showed a version to work yet."""
-        return name not in self._proved_s
+    def is_unverified(self, name: str) -> bool:
+        """Returns whether no engine has answered with a version yet."""
+        return name not in self._verified_s
 
-    def note_proof(self, name: str) -> None:
-        """Notes that an engine answered with a version."""
-        if name not in self._proved_s:
-            self._proved_s[name] = self._timers.read_monotonic()
-            self._counters.versions_proved += 1
+    def record_verified(self, name: str) -> None:
+        """Records that an engine answered with a version."""
+        if name not in self._verified_s:
+            self._verified_s[name] = self._timers.read_monotonic()
+            self._counters.versions_verified += 1
 
-    def note_failure(self, error: enginework.VersionFailedError) -> None:
-        """Notes that a version did not load or did not answer."""
+    def record_failure(self, error: engineupdate.VersionFailedError) -> None:
+        """Records that a version did not load or did not answer."""
         _logger.warning("version failed: %s", error)
         weight = self._settings.failures_limit if error.certain else 1
-        self._blame[error.name] = self._blame.get(error.name, 0) + weight
+        self._failure_counts[error.name] = (
+            self._failure_counts.get(error.name, 0) + weight
+        )
 
-    def note_suspect(self, report: endpoints.LoadReport) -> None:
-        """Lays the failure of an engine to the new versions that it runs."""
+    def record_suspect(self, report: endpoints.LoadReport) -> None:
+        """Attributes the failure of an engine to its new versions."""
         for name in filter(self._is_new, report.models):
-            self._blame[name] = self._blame.get(name, 0) + 1
+            self._failure_counts[name] = self._failure_counts.get(name, 0) + 1
 
     async def update(
         self, wanted: dict[str, str], reports: list[endpoints.LoadReport]
     ) -> versionplan.VersionPlan:
-        """Stops what failed and settles what every engine runs.
+        """Halts failed versions and promotes versions that all engines run.
 
         Args:
           wanted: version by model, from the catalogue.
           reports: load reports of the pool.
 
         Returns:
-          The plan that follows.
+          The resulting plan.
         """
         await self._save(self._record.record.clean(wanted))
-        for name, count in list(self._blame.items()):
+        for name, count in list(self._failure_counts.items()):
             if count >= self._settings.failures_limit:
                 await self._halt(name, count)
         plan = versionplan.make_plan(wanted, self._record.record, reports)
         for model, version in plan.targets.items():
-            is_known = self._record.record.stable.get(model) == version
-            if not is_known and versionplan.is_settled(plan, model, reports):
+            is_stable = self._record.record.stable.get(model) == version
+            if not is_stable and versionplan.is_rolled_out(
+                plan, model, reports
+            ):
                 await self._save(self._record.record.promote(model, version))
         return plan
 
@@ -140,12 +145,12 @@
         model, _, version = name.partition("@")
         record = self._record.record
         if record.stable.get(model) == version:
-            # It is what the pool runs; there is nothing to go back to.
-            del self._blame[name]
+            # It is the stable version; there is no other to roll back to.
+            del self._failure_counts[name]
             return
         if await self._save(record.halt(model, version, f"{count} failures")):
-            del self._blame[name]
-            self._proved_s.pop(name, None)
+            del self._failure_counts[name]
+            self._verified_s.pop(name, None)
             self._counters.versions_halted += 1
             logs.log_state_change(
                 _logger, f"version {name}", "changing", "halted"
