--- a/rhubarblock/relay/__init__.py
+++ b/rhubarblock/relay/__init__.py
@@ -1,1 +1,1 @@
-"""A request's own way: callers, attempts, streams, at-most-once calls."""
+"""Serves requests: callers, attempts, streams and at-most-once calls."""
--- a/rhubarblock/relay/apierrors.py
+++ b/rhubarblock/relay/apierrors.py
@@ -1,6 +1,6 @@
-"""The error form of the callers' API.
+"""Error responses of the callers' API.
 
-It is the usual form of completions APIs, with the verdict beside the code:
+They have the usual form of completions APIs, with the verdict beside the code:
 ``{"error": {"message", "type", "param", "code", "verdict", "retry_after_s"}}``.
 """
 
@@ -17,7 +17,7 @@
 
 
 def describe(failure: failures.Failure) -> dict[str, Any]:
-    """Returns the JSON object that stands for a failure."""
+    """Returns a failure as a JSON object."""
     client_error = failure.http_status < _CLIENT_ERROR_LIMIT
     kind = "invalid_request_error" if client_error else "server_error"
     return {
@@ -33,7 +33,7 @@
 
 
 def answer(failure: failures.Failure) -> web.Response:
-    """Returns the HTTP answer that stands for a failure."""
+    """Returns a failure as an HTTP response."""
     headers = {VERDICT_HEADER: failure.verdict.value}
     if failure.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(failure.retry_after_s))
@@ -46,7 +46,7 @@
 
 
 def convert_http_error(error: web.HTTPException) -> failures.Failure:
-    """Returns the failure that a refusal of the HTTP library stands for."""
+    """Returns an HTTP exception of aiohttp as a failure."""
     code = failures.FailureCode.BAD_REQUEST
     if error.status == web.HTTPRequestEntityTooLarge.status_code:
         code = failures.FailureCode.BODY_TOO_LARGE
@@ -56,5 +56,5 @@
 def make_rejection(
     code: failures.FailureCode, message: str
 ) -> failures.FailureError:
-    """Returns the error of a request that was turned away unread."""
+    """Returns the error of a request that is rejected before it is sent."""
     return failures.FailureError(failures.Failure(code, message))
--- a/rhubarblock/relay/backoff.py
+++ b/rhubarblock/relay/backoff.py
@@ -1,8 +1,8 @@
-"""Whether and when a failed attempt may be followed by another one.
+"""Decides whether and when a failed attempt is retried.
 
-Waits grow exponentially with full jitter: each is drawn evenly between zero
+Waits grow exponentially with full jitter: each is drawn uniformly between zero
 and a ceiling that doubles, so callers whose attempts failed together do not
-come back together.
+retry together.
 """
 
 import random
@@ -25,7 +25,7 @@
 
         Args:
           rng: draws the waits.
-          settings: how they grow.
+          settings: first and longest ceiling, or None for the defaults.
         """
         self._rng = rng
         self._settings = settings or backoffs.BackoffSettings()
@@ -38,13 +38,13 @@
         Args:
           attempts: attempts made so far, at least 1.
           now_s: monotonic time.
-          deadline_s: latest end of the request.
+          deadline_s: deadline of the request, in monotonic seconds.
 
         Returns:
-          Seconds to wait, or None when the deadline comes before that.
+          Seconds to wait, or None if the deadline would pass meanwhile.
         """
         ceiling_s = self._settings.max_s
-        # Beyond this many doublings the ceiling is reached for certain.
+        # After 32 attempts the ceiling is max_s anyway; larger powers overflow.
         if attempts <= 32:
             ceiling_s = min(
                 ceiling_s, self._settings.first_s * 2 ** (attempts - 1)
@@ -54,7 +54,7 @@
 
 
 def may_retry(verdict: verdicts.Verdict, idempotent: bool) -> bool:
-    """Says whether a failed attempt may be followed by another one at all.
+    """Returns whether a failed attempt may be retried at all.
 
     Args:
       verdict: whether the attempt may have run.
--- a/rhubarblock/relay/callcontext.py
+++ b/rhubarblock/relay/callcontext.py
@@ -1,4 +1,4 @@
-"""What the handlers of all callers' paths read of a call alike."""
+"""What the handlers of all callers' paths need to read a call."""
 
 from collections.abc import Callable
 
@@ -13,17 +13,17 @@
 
 
 class CallContext:
-    """Caller, catalogue, time and ids, for every path of one instance.
+    """Authentication, catalogue, clock and ids for all paths of an instance.
 
     Attributes:
-      catalogue: gives the catalogue in force.
+      catalogue: returns the catalogue in force.
       timers: timer service.
-      make_id: makes a new request id.
+      make_id: returns a new request id.
     """
 
     __slots__ = (
         "_callers",
-        "_default_deadline_s",
+        "_default_timeout_s",
         "catalogue",
         "make_id",
         "timers",
@@ -34,21 +34,21 @@
         catalogue: Callable[[], catalogues.Catalogue],
         timers: timer_service.Timers,
         make_id: Callable[[], str],
-        default_deadline_s: float,
+        default_timeout_s: float,
     ):
         """Creates the context.
 
         Args:
-          catalogue: gives the catalogue in force.
+          catalogue: returns the catalogue in force.
           timers: timer service.
-          make_id: makes a new request id.
-          default_deadline_s: seconds of a call that names no timeout.
+          make_id: returns a new request id.
+          default_timeout_s: timeout of a call that names none, in seconds.
         """
         self.catalogue = catalogue
         self.timers = timers
         self.make_id = make_id
         self._callers = callers.CallerIndex(catalogue)
-        self._default_deadline_s = default_deadline_s
+        self._default_timeout_s = default_timeout_s
 
     def find_caller(self, http: web.Request) -> catalogues.Credential:
         """Returns the credential that sent a call.
@@ -58,12 +58,13 @@
         """
         return self._callers.find(http.headers.get("Authorization", ""))
 
-    def read_deadline(self, http: web.Request) -> float:
-        """Returns the seconds that a call has.
+    def read_timeout(self, http: web.Request) -> float:
+        """Returns the timeout of a call in seconds.
 
         Raises:
-          failures.FailureError: BAD_REQUEST when its header is no such number.
+          failures.FailureError: BAD_REQUEST if its header is not a number in
+            the allowed range.
         """
-        return prompts.read_deadline(
-            http.headers.get(TIMEOUT_HEADER), self._default_deadline_s
+        return prompts.read_timeout(
+            http.headers.get(TIMEOUT_HEADER), self._default_timeout_s
         )
--- a/rhubarblock/relay/callers.py
+++ b/rhubarblock/relay/callers.py
@@ -1,4 +1,4 @@
-"""Finds out who calls: the credential behind a bearer token."""
+"""Authenticates callers: finds the credential of a bearer token."""
 
 from collections.abc import Callable
 import hashlib
@@ -8,8 +8,8 @@
 from rhubarblock.relay import apierrors
 
 _SCHEME = "bearer "
-# A caller that is refused goes to another instance, so it need not wait long.
-_RETRY_AFTER_S = 1.0
+# A refused caller retries at another instance, so it need not wait long.
+_NO_CATALOGUE_RETRY_AFTER_S = 1.0
 
 
 class CallerIndex:
@@ -21,7 +21,7 @@
         """Creates the index.
 
         Args:
-          provider: gives the catalogue in force.
+          provider: returns the catalogue in force.
         """
         self._provider = provider
         self._catalogue: catalogues.Catalogue | None = None
@@ -31,11 +31,11 @@
         """Returns the credential of a caller.
 
         Args:
-          authorization: value of the header of that name.
+          authorization: value of the Authorization header.
 
         Raises:
           failures.FailureError: UNAUTHENTICATED, FORBIDDEN, or
-            PLATFORM_UNAVAILABLE before there is a catalogue; NOT_RUN.
+            PLATFORM_UNAVAILABLE while there is no catalogue; NOT_RUN.
         """
         if not authorization.lower().startswith(_SCHEME):
             raise apierrors.make_rejection(
@@ -43,7 +43,7 @@
                 "an Authorization header with a bearer token is needed",
             )
         secret = authorization[len(_SCHEME) :].strip()
-        # A header may hold bytes that are no UTF-8.
+        # A header may hold bytes that are not UTF-8.
         data = secret.encode(errors="surrogateescape")
         digest = hashlib.sha256(data).hexdigest()
         credential = self._read_index().get(digest)
@@ -66,7 +66,7 @@
                 failures.Failure(
                     failures.FailureCode.PLATFORM_UNAVAILABLE,
                     "this instance has no catalogue yet",
-                    retry_after_s=_RETRY_AFTER_S,
+                    retry_after_s=_NO_CATALOGUE_RETRY_AFTER_S,
                 )
             )
         if catalogue is not self._catalogue:
--- a/rhubarblock/relay/claims/__init__.py
+++ b/rhubarblock/relay/claims/__init__.py
@@ -1,7 +1,8 @@
-"""The ledger of calls that run at most once, kept in the store.
+"""The ledger of calls that run at most once, kept in the object store.
 
-Others use ``ledger`` with ``settings``. Read on in ``row`` (one claim),
-``layout`` and ``route`` (which shard, and who coordinates it), ``shard`` and
-``ops`` (group commit), ``table``, ``head``, ``seal`` and ``index`` (what is
-stored), ``pacer`` (writes a second), ``wire`` and ``failures``.
+The public modules are ``ledger`` and ``settings``. The others are ``row`` (one
+claim), ``layout`` and ``route`` (the shard of a key and its coordinator),
+``shard`` and ``ops`` (group commit), ``table``, ``head``, ``seal`` and
+``index`` (stored objects), ``pacer`` (write rate), ``wire`` (messages between
+instances) and ``failures``.
 """
--- a/rhubarblock/relay/claims/failures.py
+++ b/rhubarblock/relay/claims/failures.py
@@ -1,10 +1,10 @@
-"""What a caller is told when a call with an idempotency key did not succeed."""
+"""Failures of calls with an idempotency key, as callers see them."""
 
 from rhubarblock.core import failure as failures
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.relay.claims import row as claimrow
 
-# What a refused caller is told to wait, in seconds.
+# Retry-After of refused callers, in seconds.
 RETRY_AFTER_S = 2.0
 
 _Code = failures.FailureCode
@@ -31,7 +31,7 @@
 
 
 def make_unknown() -> failures.Failure:
-    """Returns the failure of a call whose one run has no known outcome."""
+    """Returns the failure of a call whose single run has an unknown outcome."""
     return failures.Failure(
         code=_Code.OUTCOME_UNKNOWN,
         message="a call with this idempotency key was sent; it may have run",
@@ -39,8 +39,8 @@
     )
 
 
-def make_not_kept(answer: claimrow.RowAnswer) -> failures.Failure:
-    """Returns the failure of a call that ran, with an answer too large."""
+def make_answer_not_stored(answer: claimrow.RowAnswer) -> failures.Failure:
+    """Returns the failure of a call that ran but whose answer was too large."""
     return failures.Failure(
         code=_Code.OUTCOME_UNKNOWN,
         message=(
--- a/rhubarblock/relay/claims/head.py
+++ b/rhubarblock/relay/claims/head.py
@@ -24,7 +24,7 @@
 
         Args:
           store: object API.
-          pacer: keeps the writes of the shard within their share.
+          pacer: limits the write rate of the shard.
           shard: name of the shard.
         """
         self._store = store
@@ -33,10 +33,10 @@
         self.shard = shard
 
     async def read(self) -> claimtable.ClaimTable:
-        """Returns the head, which may be an older state of it.
+        """Returns the head, possibly at an older version.
 
         Raises:
-          store.StoreError: it could not be read.
+          store.StoreError: the head could not be read.
         """
         try:
             stored = await self._store.read(self._name)
@@ -47,14 +47,14 @@
         return claimtable.decode_table(stored.value, stored.version)
 
     async def write(self, table: claimtable.ClaimTable, value: bytes) -> None:
-        """Writes the head if nobody has written it since it was read.
+        """Writes the head if its stored version is still the one that was read.
 
         Args:
-          table: the head as read and changed; gets its new version.
-          value: its encoding.
+          table: the changed head; its version is updated.
+          value: the encoded head.
 
         Raises:
-          store.StoreError: it was not written, or it is not known whether.
+          store.StoreError: the write failed, or its outcome is unknown.
         """
         await self._pacer.wait_turn()
         stored = await self._store.write(self._name, value, table.version)
--- a/rhubarblock/relay/claims/index.py
+++ b/rhubarblock/relay/claims/index.py
@@ -6,38 +6,39 @@
 from rhubarblock.relay.claims import table as claimtable
 from rhubarblock.store import store as stores
 
-# Segments that are read at one time after a start.
-READS_AT_ONCE = 8
+# Segments that are read concurrently after a start.
+MAX_CONCURRENT_READS = 8
 
 
 class SegmentIndex:
-    """Remembers the key digests of segments, which never change."""
+    """Caches the key digests of segments, which are immutable."""
 
     __slots__ = ("_keys", "_store")
 
     def __init__(self, store: stores.ObjectStore):
-        """Creates an index that knows no segment."""
+        """Creates an empty index."""
         self._store = store
         self._keys: dict[str, bytes] = {}
 
     async def load(self, segments: list[claimtable.Segment]) -> None:
-        """Reads the segments that are not known yet and forgets the others.
+        """Loads the digests of these segments and drops those of all others.
 
         Raises:
-          store.StoreError: one could not be read. An absent one is an error
-            too: the platform may have served an older state.
+          store.StoreError: a segment could not be read. A segment that is not
+            found is an error too, since the platform may have served an older
+            state.
         """
         wanted = [segment.segment_id for segment in segments]
         self._keys = {i: self._keys[i] for i in wanted if i in self._keys}
         missing = [i for i in wanted if i not in self._keys]
-        for start in range(0, len(missing), READS_AT_ONCE):
-            part = missing[start : start + READS_AT_ONCE]
+        for start in range(0, len(missing), MAX_CONCURRENT_READS):
+            part = missing[start : start + MAX_CONCURRENT_READS]
             await asyncio.gather(*[self._load_one(i) for i in part])
 
     async def find(
         self, segments: list[claimtable.Segment], key_digest: str
     ) -> claimrow.ClaimRow | None:
-        """Returns the row of a key, or None; ``load`` must have been called."""
+        """Returns the row of a key, or None; call ``load`` first."""
         for segment in reversed(segments):
             keys = self._keys[segment.segment_id]
             if claimtable.has_key(keys, key_digest):
--- a/rhubarblock/relay/claims/interleave_test.py
+++ b/rhubarblock/relay/claims/interleave_test.py
@@ -1,14 +1,13 @@
-"""Explores the interleavings of two instances that share one key.
+"""Model checks two instances that use the same idempotency key.
 
-Every call to the platform and to the service stops at a gate. A schedule says
-which call goes on next, whether its answer is lost, whether it arrives only
-later, whether a read shows an older state, and when an hour passes while all
-stay paused. All schedules up
-to a number of faults, or of switches between the instances, are tried on the
-real code; deeper ones are sampled.
+Every call to the platform, the service or the other instance stops at a gate. A
+schedule decides which call continues next, whether its reply is lost, whether
+it takes effect late, whether a read is stale, and when time passes while both
+instances are paused. All schedules up to a number of faults, or of switches
+between the instances, are run on the production code; longer ones are sampled.
 
 The second half weakens the protocol in one place at a time and requires that
-the same search finds a double run, so that a clean result means something.
+the same search finds a double run, which shows that the search can detect one.
 """
 
 import asyncio
@@ -47,7 +46,7 @@
 
 _Kind = stores.StoreErrorKind
 
-# Waits are zero, so that time passes only where a schedule says so.
+# Waits are zero, so that time only passes where a schedule decides so.
 SETTINGS = claimsettings.ClaimSettings(
     shards=1,
     batch_window_s=0.0,
@@ -59,13 +58,22 @@
 SEALING = dataclasses.replace(SETTINGS, seal_bytes=1)
 NO_WAIT = servicecalls.CallSettings(backoff=backoffs.BackoffSettings(0.0, 0.0))
 HOUR_S = 3600.0
-# Turns of the loop with nothing ready after which all wait for the gate.
-QUIET_TURNS = 3
+# Loop iterations without a ready callback after which all tasks are blocked.
+QUIET_ITERATIONS = 3
 
 
 @dataclasses.dataclass(eq=False)
 class Step:
-    """A call that waits at the gate."""
+    """A call that waits at the gate.
+
+    Attributes:
+      label: client and description of the call.
+      act: carries out the call.
+      act_stale: carries out a read on the state before the last write; None
+        for all other calls.
+      lost: error that the client gets if the reply is lost.
+      done: resolved with the reply.
+    """
 
     label: str
     act: Callable[[], object]
@@ -84,20 +92,21 @@
 
 @dataclasses.dataclass
 class Plan:
-    """What a search goes through.
+    """The bounds and the starting state of a search.
 
     Attributes:
       settings: settings of both ledgers.
-      faults: most answers lost, writes delayed and reads of an older state.
-      pauses: most pauses, in which time passes and nothing goes on.
-      resends: how often a caller sends again after a failure.
-      pause_s: length of a pause.
-      switches: how often the schedule may leave an instance that could go on.
-      forwarding: whether instance B sends its claims through A.
+      faults: most faults: lost replies, delayed writes and stale reads.
+      pauses: most pauses, in which time passes and no call continues.
+      resends: how often a caller sends its call again after a failure.
+      pause_s: length of a pause in seconds.
+      switches: how often the schedule may preempt an instance that could
+        continue.
+      forwarding: whether instance B forwards its claims to A.
       keys: idempotency keys of the two callers.
       ran_before: where the row of an earlier run of ``k1`` is: ``head``,
-        ``segment``, ``segments`` when there is a second one beside it, or
-        empty when there was none.
+        ``segment``, ``segments`` if there is a second segment, or empty if
+        there was no run.
     """
 
     settings: claimsettings.ClaimSettings = SETTINGS
@@ -111,8 +120,8 @@
     ran_before: str = ""
 
 
-class World:
-    """One run: the state, the gate, and what the schedule has left."""
+class Simulation:
+    """One run of a schedule: platform state, gate and remaining faults."""
 
     def __init__(self, plan: Plan):
         self.state = platformstate.PlatformState(events_limit=1000)
@@ -165,7 +174,7 @@
             f"claimrows/{segment_id}", rows, positions.NOWHERE, 0.0
         )
 
-    async def ask(self, label: str, act, act_stale=None, lost=None):
+    async def pass_gate(self, label: str, act, act_stale=None, lost=None):
         lost = lost or stores.StoreError(_Kind.UNSURE)
         step = Step(label, act, act_stale, lost, asyncio.Future())
         self.steps.append(step)
@@ -174,10 +183,10 @@
     def list_options(self) -> list[tuple[str, Callable[[], None]]]:
         options = []
         for step in self.steps:
-            options.append((step.label, lambda s=step: self.let_pass(s)))
+            options.append((step.label, lambda s=step: self.perform_step(s)))
         for step in self.late:
             label = f"{step.label} arrives late"
-            options.append((label, lambda s=step: self.land(s)))
+            options.append((label, lambda s=step: self.deliver_late(s)))
         for step in self.steps if self.faults else []:
             if step.act_stale is not None:
                 label = f"{step.label} stale"
@@ -185,10 +194,12 @@
                 continue
             for how in ("after", "before", "late"):
                 label = f"{step.label} lost {how}"
-                options.append((label, lambda s=step, h=how: self.lose(s, h)))
+                options.append(
+                    (label, lambda s=step, h=how: self.lose_answer(s, h))
+                )
         return options
 
-    def let_pass(self, step: Step) -> None:
+    def perform_step(self, step: Step) -> None:
         self.perform(step, step.act)
 
     def serve_stale(self, step: Step) -> None:
@@ -202,11 +213,12 @@
         except stores.StoreError as error:
             step.fail(error)
         else:
-            # The one who asked may have given up meanwhile.
+            # The client may have given up in the meantime.
             if not step.done.done():
                 step.done.set_result(outcome)
 
-    def lose(self, step: Step, how: str) -> None:
+    def lose_answer(self, step: Step, how: str) -> None:
+        """Fails a step; it took effect before, does so late, or never does."""
         self.steps.remove(step)
         self.faults -= 1
         if how == "after":
@@ -216,21 +228,21 @@
             self.late.append(step)
         step.fail(step.lost)
 
-    def land(self, step: Step) -> None:
+    def deliver_late(self, step: Step) -> None:
         self.late.remove(step)
         with contextlib.suppress(stores.StoreError):
             step.act()
 
 
 class GatedStore(stores.ObjectStore):
-    """The platform as one instance sees it, behind the gate."""
+    """The platform for one instance, behind the gate."""
 
-    def __init__(self, world: World, client: str):
-        self._world = world
+    def __init__(self, simulation: Simulation, client: str):
+        self._simulation = simulation
         self._client = client
 
     async def read(self, name):
-        state = self._world.state
+        state = self._simulation.state
 
         def serve(found):
             if found is None:
@@ -239,7 +251,7 @@
 
         def act_stale():
             found = state.find(name)
-            return serve(self._world.replaced[name] if found else None)
+            return serve(self._simulation.replaced[name] if found else None)
 
         def act():
             return serve(state.find(name))
@@ -247,18 +259,20 @@
         if name == "claims/layout":
             return act()
         label = f"{self._client} read {name}"
-        return await self._world.ask(label, act, act_stale)
+        return await self._simulation.pass_gate(label, act, act_stale)
 
     async def write(self, name, value, expected_version):
-        return await self._world.ask(
+        return await self._simulation.pass_gate(
             f"{self._client} write {name}",
-            lambda: self._world.state.write(name, value, expected_version, 0.0),
+            lambda: self._simulation.state.write(
+                name, value, expected_version, 0.0
+            ),
         )
 
     async def delete(self, name, expected_version):
-        return await self._world.ask(
+        return await self._simulation.pass_gate(
             f"{self._client} delete {name}",
-            lambda: self._world.state.delete(name, expected_version, 0.0),
+            lambda: self._simulation.state.delete(name, expected_version, 0.0),
         )
 
     async def list_objects(self, prefix):
@@ -269,16 +283,16 @@
 
 
 class GatedService(serviceclient.ServiceClient):
-    """A service behind the gate; it runs whatever arrives."""
+    """A service behind the gate; it runs every call it receives."""
 
-    def __init__(self, world: World, client: str):
-        self._world = world
+    def __init__(self, simulation: Simulation, client: str):
+        self._simulation = simulation
         self._client = client
 
     async def send(self, address, call, attempt_id):
         def act():
             key = call.idempotency_key
-            self._world.runs.append((key, attempt_id))
+            self._simulation.runs.append((key, attempt_id))
             return requests.ServiceAnswer(200, f"run of {key}".encode())
 
         lost = failures.Failure(
@@ -286,7 +300,7 @@
             "lost",
             verdicts.Verdict.MAY_HAVE_RUN,
         )
-        return await self._world.ask(
+        return await self._simulation.pass_gate(
             f"{self._client} send", act, lost=failures.FailureError(lost)
         )
 
@@ -294,8 +308,8 @@
 class GatedPeers(peertransport.PeerTransport):
     """Calls between the instances, behind the gate."""
 
-    def __init__(self, world: World, client: str):
-        self._world = world
+    def __init__(self, simulation: Simulation, client: str):
+        self._simulation = simulation
         self._client = client
         self.others: list[GatedPeers] = []
         self.handler = None
@@ -315,34 +329,36 @@
         try:
             async with asyncio.timeout(timeout_s):
                 label = f"{self._client} call"
-                answer = await self._world.ask(label, act, lost=lost)
+                answer = await self._simulation.pass_gate(label, act, lost=lost)
                 return await asyncio.shield(answer)
         except Exception as error:
             raise peertransport.PeerError(str(error)) from error
 
 
-def make_callers(world: World, plan: Plan) -> list[servicecalls.ServiceCaller]:
+def make_callers(
+    simulation: Simulation, plan: Plan
+) -> list[servicecalls.ServiceCaller]:
     timers = timer_service.LoopTimers(wall_offset_s=1e6)
     callers = []
-    peers = {client: GatedPeers(world, client) for client in "AB"}
+    peers = {client: GatedPeers(simulation, client) for client in "AB"}
     peers["A"].others = [peers["B"]]
     peers["B"].others = [peers["A"]]
     for number, client in enumerate("AB"):
-        # Where claims are forwarded, A is the coordinator.
-        away = "A" if client == "B" and plan.forwarding else None
+        # With forwarding, A coordinates the shard.
+        coordinator = "A" if client == "B" and plan.forwarding else None
         ledger = claims.ClaimLedger(
-            GatedStore(world, client),
+            GatedStore(simulation, client),
             timers,
             client,
             random.Random(number),
             plan.settings,
             peers[client],
-            lambda duty, away=away: away,
+            lambda duty, coordinator=coordinator: coordinator,
         )
         callers.append(
             servicecalls.ServiceCaller(
                 ledger,
-                GatedService(world, client),
+                GatedService(simulation, client),
                 lambda call, failed: "desk:1",
                 timers,
                 random.Random(number),
@@ -354,7 +370,13 @@
 
 @dataclasses.dataclass
 class Trace:
-    """What one schedule did and brought about."""
+    """The steps of one schedule and the fault that it found.
+
+    Attributes:
+      labels: the steps taken.
+      widths: number of options at each step.
+      fault: description of the fault, or empty.
+    """
 
     labels: list[str]
     widths: list[int]
@@ -362,7 +384,7 @@
 
 
 async def send_and_resend(callers, first: int, plan: Plan, outcomes) -> None:
-    """A member's phone: it sends, and after a failure sends again."""
+    """Acts as a caller that sends a call again after a failure."""
     now_s = asyncio.get_running_loop().time
     for number in range(1 + plan.resends):
         call = service_test.make_call(
@@ -377,20 +399,20 @@
             return
 
 
-async def settle() -> None:
-    """Lets everything go on that needs neither time nor the gate."""
+async def run_until_blocked() -> None:
+    """Runs the loop until all tasks wait for time or for the gate."""
     loop = asyncio.get_running_loop()
-    quiet_turns = 0
-    while quiet_turns < QUIET_TURNS:
+    quiet_iterations = 0
+    while quiet_iterations < QUIET_ITERATIONS:
         await asyncio.sleep(0)
-        quiet_turns = 0 if loop._ready else quiet_turns + 1
+        quiet_iterations = 0 if loop._ready else quiet_iterations + 1
 
 
 async def run_schedule(plan: Plan, choose: Callable[[int], int]) -> Trace:
-    world = World(plan)
+    simulation = Simulation(plan)
     trace = Trace([], [])
     outcomes: list = []
-    callers = make_callers(world, plan)
+    callers = make_callers(simulation, plan)
     clients = [
         asyncio.ensure_future(send_and_resend(callers, n, plan, outcomes))
         for n in (0, 1)
@@ -398,68 +420,69 @@
     last = ""
     switches = plan.switches
     while True:
-        await settle()
+        await run_until_blocked()
         if all(client.done() for client in clients):
             break
-        if not world.steps:
+        if not simulation.steps:
             await asyncio.sleep(5.0)
             continue
-        options = world.list_options()
-        going_on = [o for o in options if o[0][0] == last]
-        if going_on and switches == 0:
-            options = going_on
-        width = len(options) + (world.pauses > 0)
+        options = simulation.list_options()
+        continuing = [o for o in options if o[0][0] == last]
+        if continuing and switches == 0:
+            options = continuing
+        width = len(options) + (simulation.pauses > 0)
         choice = choose(width)
         trace.widths.append(width)
         if choice < len(options):
             label, act = options[choice]
-            if going_on and label[0] != last:
+            if continuing and label[0] != last:
                 switches -= 1
             last = label[0]
             trace.labels.append(label)
             act()
             continue
         trace.labels.append("a pause")
-        world.pauses -= 1
+        simulation.pauses -= 1
         await asyncio.sleep(plan.pause_s)
-    await finish_all(world)
-    trace.fault = find_fault(world, outcomes)
+    await finish_all(simulation)
+    trace.fault = find_fault(simulation, outcomes)
     for client in clients:
         client.result()
     for caller in callers:
         caller.close()
         caller._claims.close()
-    await settle()
+    await run_until_blocked()
     return trace
 
 
-async def finish_all(world: World) -> None:
-    """Lets everything still on its way arrive, the late writes first."""
-    while world.late:
-        world.land(world.late[0])
+async def finish_all(simulation: Simulation) -> None:
+    """Completes all outstanding calls, the late writes first."""
+    while simulation.late:
+        simulation.deliver_late(simulation.late[0])
     for _ in range(100):
-        await settle()
-        if not world.steps:
+        await run_until_blocked()
+        if not simulation.steps:
             return
-        world.let_pass(world.steps[0])
+        simulation.perform_step(simulation.steps[0])
 
 
-def find_fault(world: World, outcomes) -> str:
-    keys = [key for key, _ in world.runs]
+def find_fault(simulation: Simulation, outcomes) -> str:
+    """Describes a double run or a wrong NOT_RUN verdict; empty if none."""
+    keys = [key for key, _ in simulation.runs]
     if len(keys) > len(set(keys)):
-        return f"double run: {world.runs}"
-    ran = {attempt_id.split("/")[0] for _, attempt_id in world.runs}
+        return f"double run: {simulation.runs}"
+    ran = {attempt_id.split("/")[0] for _, attempt_id in simulation.runs}
     for request_id, outcome in outcomes:
         if isinstance(outcome, result.Success):
             continue
         verdict = outcome.failure().verdict
         if verdict is verdicts.Verdict.NOT_RUN and request_id in ran:
-            return f"{request_id} was told NOT_RUN and ran"
+            return f"{request_id} was reported as NOT_RUN but ran"
     return ""
 
 
 def search_all(plan: Plan, limit: int) -> Iterator[Trace]:
-    """Tries every schedule, depth first."""
+    """Runs every schedule, depth first."""
     prefix: list[int] = []
     for _ in range(limit):
         path = iter(prefix)
@@ -477,13 +500,13 @@
 
 
 def search_sample(plan: Plan, count: int, seed: int) -> Iterator[Trace]:
-    """Tries schedules drawn at random."""
+    """Runs schedules drawn at random."""
     rng = random.Random(seed)
     for _ in range(count):
         yield virtualloop.run(run_schedule(plan, rng.randrange))
 
 
-def require_clean(traces: Iterator[Trace]) -> int:
+def count_without_fault(traces: Iterator[Trace]) -> int:
     count = 0
     for trace in traces:
         assert not trace.fault, "\n".join([trace.fault, *trace.labels])
@@ -498,36 +521,40 @@
     return None
 
 
-def test_all_schedules_with_one_fault_and_an_hour() -> None:
-    assert require_clean(search_all(Plan(), limit=9999)) > 1000
+def test_no_double_run_with_one_fault_and_an_hour_of_pause() -> None:
+    assert count_without_fault(search_all(Plan(), limit=9999)) > 1000
 
 
-def test_all_schedules_with_forwarding() -> None:
+def test_no_double_run_with_forwarding() -> None:
     plan = Plan(faults=1, pauses=0, switches=1, forwarding=True)
-    assert require_clean(search_all(plan, limit=9999)) > 100
+    assert count_without_fault(search_all(plan, limit=9999)) > 100
 
 
-# A pause longer than the time that a coordinator has, and shorter than that
-# of the call.
+# The pause reaches the timeout of forwarded claims, but not the deadline of the
+# call.
 SAMPLED_FORWARDING = Plan(
     faults=2, pauses=3, pause_s=1.0, resends=2, forwarding=True
 )
 
 
-def test_sampled_schedules_with_forwarding() -> None:
+def test_no_double_run_in_sampled_schedules_with_forwarding() -> None:
     traces = search_sample(SAMPLED_FORWARDING, 500, seed=4)
-    assert require_clean(traces) == 500
+    assert count_without_fault(traces) == 500
 
 
-@pytest.mark.parametrize("alone_writes", [0, 2])
-def test_sampled_schedules_with_faults_and_resends(alone_writes) -> None:
+@pytest.mark.parametrize("sole_writer_commits", [0, 2])
+def test_no_double_run_in_sampled_schedules_with_resends(
+    sole_writer_commits,
+) -> None:
     plan = Plan(faults=3, pauses=2, resends=2)
-    with mock.patch.object(claimshard, "ALONE_WRITES", alone_writes):
-        assert require_clean(search_sample(plan, 500, seed=1)) == 500
+    with mock.patch.object(
+        claimshard, "SOLE_WRITER_COMMITS", sole_writer_commits
+    ):
+        assert count_without_fault(search_sample(plan, 500, seed=1)) == 500
 
 
-# One caller's claim makes the head full, and the row of the other one's key is
-# moved to a segment while it looks for it.
+# The claim of one caller fills the head. The row of the other caller's key is
+# moved to a segment while it is being looked up.
 SEALED_MEANWHILE = Plan(
     settings=SEALING,
     faults=0,
@@ -536,7 +563,7 @@
     keys=("k1", "k2"),
     ran_before="head",
 )
-# The segment with the key is merged with another while the key is looked for.
+# The segment with the key is merged with another while the key is looked up.
 MERGED = dataclasses.replace(
     SEALED_MEANWHILE, settings=SETTINGS, ran_before="segments", switches=1
 )
@@ -549,15 +576,17 @@
         yield
 
 
-def test_all_schedules_with_sealing() -> None:
-    assert require_clean(search_all(SEALED_MEANWHILE, limit=9999)) > 100
-    assert require_clean(search_all(SEALED_BEFORE, limit=9999)) > 100
-    assert require_clean(search_all(MERGED, limit=9999)) > 100
+def test_no_double_run_with_sealing() -> None:
+    assert count_without_fault(search_all(SEALED_MEANWHILE, limit=9999)) > 100
+    assert count_without_fault(search_all(SEALED_BEFORE, limit=9999)) > 100
+    assert count_without_fault(search_all(MERGED, limit=9999)) > 100
 
 
 @pytest.mark.parametrize("place", ["head", "segments"])
-@pytest.mark.parametrize("alone_writes", [0, 2])
-def test_sampled_schedules_with_sealing_and_faults(alone_writes, place) -> None:
+@pytest.mark.parametrize("sole_writer_commits", [0, 2])
+def test_no_double_run_in_sampled_schedules_with_sealing(
+    sole_writer_commits, place
+) -> None:
     plan = dataclasses.replace(
         SEALED_MEANWHILE if place == "head" else MERGED,
         faults=2,
@@ -565,64 +594,68 @@
         resends=1,
         switches=1000,
     )
-    with mock.patch.object(claimshard, "ALONE_WRITES", alone_writes):
-        assert require_clean(search_sample(plan, 500, seed=2)) == 500
+    with mock.patch.object(
+        claimshard, "SOLE_WRITER_COMMITS", sole_writer_commits
+    ):
+        assert count_without_fault(search_sample(plan, 500, seed=2)) == 500
 
 
 def weaken_conditional_write():
-    """The head is written whatever version it has."""
+    """The head is written unconditionally."""
 
     async def write(self, name, value, expected_version):
         def act():
-            found = self._world.state.find(name)
+            found = self._simulation.state.find(name)
             version = found.version if found else positions.NOWHERE
-            return self._world.state.write(name, value, version, 0.0)
+            return self._simulation.state.write(name, value, version, 0.0)
 
-        return await self._world.ask(f"{self._client} write {name}", act)
+        return await self._simulation.pass_gate(
+            f"{self._client} write {name}", act
+        )
 
     return mock.patch.object(GatedStore, "write", write)
 
 
-def weaken_read_back():
-    """A write without an answer is taken for one that took effect."""
-    strong = claimhead.HeadObject.write
+def weaken_lost_write_handling():
+    """A write that failed or lost its reply is taken for a success."""
+    original = claimhead.HeadObject.write
 
     async def write(self, table, value):
         with contextlib.suppress(stores.StoreError):
-            await strong(self, table, value)
+            await original(self, table, value)
 
     return mock.patch.object(claimhead.HeadObject, "write", write)
 
 
-def weaken_by_lease():
-    """A claim that is older than a minute may be taken over."""
-    strong = claimops.Claim.apply
+def weaken_claims_to_leases():
+    """A claim older than a minute may be taken over, as if it were a lease."""
+    original = claimops.Claim.apply
 
-    def apply(self, table, present):
-        if present is not None and (
-            present.state is claimrow.RowState.CLAIMED
-            and self.row.claimed_wall_s - present.claimed_wall_s > 60.0
+    def apply(self, table, current):
+        if current is not None and (
+            current.state is claimrow.RowState.CLAIMED
+            and self.row.claimed_wall_s - current.claimed_wall_s > 60.0
         ):
-            present = None
-        strong(self, table, present)
+            current = None
+        original(self, table, current)
 
     return mock.patch.object(claimops.Claim, "apply", apply)
 
 
-def weaken_claim_id():
-    """Two instances give their claims the same id."""
-    strong = claims.ClaimLedger._make_row
+def weaken_claim_id_uniqueness():
+    """All claims have the same id."""
+    original = claims.ClaimLedger._make_row
 
     def make_row(self, *args):
-        return dataclasses.replace(strong(self, *args), claim_id="same")
+        return dataclasses.replace(original(self, *args), claim_id="same")
 
     return mock.patch.object(claims.ClaimLedger, "_make_row", make_row)
 
 
 def weaken_release_by_key():
-    """A release removes the claim of whoever holds the key."""
+    """A release removes the row of a key whatever its claim id."""
 
-    def apply(self, table, present):
+    def apply(self, table, current):
         table.changed = True
         if self.key_digest in table.lines:
             table.remove_row(self.key_digest)
@@ -630,7 +663,7 @@
     return mock.patch.object(claimops.Release, "apply", apply)
 
 
-def weaken_release_of_sent():
+def weaken_release_of_sent_calls():
     """A key is released although its call may have run."""
 
     async def use_claim(self, call, claim):
@@ -644,8 +677,8 @@
     )
 
 
-def weaken_verdict():
-    """A call is tried again although it may have run."""
+def weaken_verdict_check():
+    """A call is retried although it may have run."""
 
     async def may_retry(self, call, failure, number, backoff):
         return number < 2
@@ -655,19 +688,19 @@
     )
 
 
-def weaken_abandoned():
-    """A claim whose caller was refused is used after all once it is there."""
-    strong = claims.ClaimLedger._try_claim
+def weaken_abandoned_claims():
+    """A claim that was not confirmed in time is used as if it were granted."""
+    original = claims.ClaimLedger._try_claim
 
     async def try_claim(self, row, deadline_s):
-        found = await strong(self, row, deadline_s)
+        found = await original(self, row, deadline_s)
         return row if isinstance(found, failures.Failure) else found
 
     return mock.patch.object(claims.ClaimLedger, "_try_claim", try_claim)
 
 
-def weaken_coordinator():
-    """A coordinator releases the claim of an instance that gave up on it."""
+def weaken_forwarded_claims():
+    """A coordinator releases a claim whose sender has given up."""
     return mock.patch.object(
         claimops.ForwardedClaim,
         "make_release",
@@ -675,8 +708,8 @@
     )
 
 
-def weaken_segments():
-    """Keys are not looked for in sealed segments."""
+def weaken_segment_lookup():
+    """Sealed segments are not searched for keys."""
 
     async def find(self, segments, key_digest):
         return None
@@ -684,13 +717,13 @@
     return mock.patch.object(claimindex.SegmentIndex, "find", find)
 
 
-def weaken_absent_segment():
-    """Keys that an older state does not show yet are taken for none."""
-    strong = claimindex.SegmentIndex._load_one
+def weaken_missing_segment_check():
+    """A segment whose keys a stale read does not find counts as empty."""
+    original = claimindex.SegmentIndex._load_one
 
     async def load_one(self, segment_id):
         try:
-            await strong(self, segment_id)
+            await original(self, segment_id)
         except stores.StoreError:
             self._keys[segment_id] = b""
 
@@ -698,29 +731,29 @@
 
 
 def weaken_sealing_order():
-    """The rows leave the head before their segment is listed."""
-    strong = claimseal.Sealer._begin_segment
+    """Rows are removed from the head before their segment is listed."""
+    original = claimseal.Sealer._begin_segment
 
     def begin_segment(self, table):
         for row in self._find_rows_to_seal(table):
             table.remove_row(row.key_digest)
-        return strong(self, table)
+        return original(self, table)
 
     return mock.patch.object(claimseal.Sealer, "_begin_segment", begin_segment)
 
 
-def weaken_merge():
-    """The first segment of several that are merged is forgotten."""
-    strong = claimseal.Sealer._read_segments
+def weaken_merge_inputs():
+    """A merge leaves out the rows of its first segment."""
+    original = claimseal.Sealer._read_segments
 
     async def read_segments(self, sources):
-        return await strong(self, sources[1:])
+        return await original(self, sources[1:])
 
     return mock.patch.object(claimseal.Sealer, "_read_segments", read_segments)
 
 
 def weaken_retention():
-    """A claim is collected as soon as its answer is known."""
+    """Claims expire at once."""
 
     def find_expiry(self):
         return self._read_wall() + 1.0
@@ -735,22 +768,22 @@
     ("weaken", "plan"),
     [
         (weaken_conditional_write, Plan(faults=0, pauses=0)),
-        (weaken_read_back, Plan(faults=1, pauses=0)),
-        (weaken_by_lease, SAMPLED),
-        (weaken_claim_id, Plan(faults=0, pauses=0)),
+        (weaken_lost_write_handling, Plan(faults=1, pauses=0)),
+        (weaken_claims_to_leases, SAMPLED),
+        (weaken_claim_id_uniqueness, Plan(faults=0, pauses=0)),
         (weaken_release_by_key, SAMPLED),
-        (weaken_release_of_sent, SAMPLED),
-        (weaken_verdict, Plan(faults=1, pauses=0)),
-        (weaken_abandoned, SAMPLED),
-        (weaken_coordinator, SAMPLED_FORWARDING),
-        (weaken_segments, SEALED_MEANWHILE),
-        (weaken_absent_segment, SEALED_BEFORE),
+        (weaken_release_of_sent_calls, SAMPLED),
+        (weaken_verdict_check, Plan(faults=1, pauses=0)),
+        (weaken_abandoned_claims, SAMPLED),
+        (weaken_forwarded_claims, SAMPLED_FORWARDING),
+        (weaken_segment_lookup, SEALED_MEANWHILE),
+        (weaken_missing_segment_check, SEALED_BEFORE),
         (weaken_sealing_order, SEALED_MEANWHILE),
-        (weaken_merge, MERGED),
+        (weaken_merge_inputs, MERGED),
         (weaken_retention, SEALED_MEANWHILE),
     ],
 )
-def test_weakened_protocol_is_caught(weaken, plan) -> None:
+def test_search_detects_each_weakened_protocol(weaken, plan) -> None:
     with weaken():
         if plan.resends:
             trace = find_double_run(search_sample(plan, 3000, seed=3))
--- a/rhubarblock/relay/claims/layout.py
+++ b/rhubarblock/relay/claims/layout.py
@@ -1,8 +1,9 @@
-"""How claims are spread over shards.
+"""The assignment of idempotency keys to shards.
 
-All instances must agree on it: two that looked for one key in two shards would
-both find it unused. It is therefore written once to the platform and never
-changes; the setting only serves the very first start.
+All instances must use the same number of shards: two instances that looked for
+a key in different shards would both find it unused. The number is therefore
+written to the platform once and never changes; the setting only applies to the
+very first start.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
     __slots__ = (
         "_backoff",
-        "_first_shards",
+        "_initial_shards",
         "_loading",
         "_shards",
         "_store",
@@ -36,35 +37,36 @@
         store: stores.ObjectStore,
         timers: timer_service.Timers,
         backoff: backoffs.Backoff,
-        first_shards: int,
+        initial_shards: int,
     ):
-        """Creates a layout that is not known yet.
+        """Creates a layout that is not loaded yet.
 
         Args:
           store: object API.
           timers: sleeps.
-          backoff: waits between tries to read it.
-          first_shards: number of shards if the platform holds none yet.
+          backoff: waits between attempts to load the layout.
+          initial_shards: number of shards to write if the platform holds no
+            layout yet.
         """
         self._store = store
         self._timers = timers
         self._backoff = backoff
-        self._first_shards = first_shards
+        self._initial_shards = initial_shards
         self._shards = 0
         self._loading: asyncio.Task[None] | None = None
 
     @property
     def shards(self) -> int:
-        """Number of shards; 0 while it is not known."""
+        """Number of shards; 0 until the layout is loaded."""
         return self._shards
 
-    async def wait_known(self, timeout_s: float) -> bool:
-        """Waits until the layout is known and says whether it is.
+    async def wait_loaded(self, timeout_s: float) -> bool:
+        """Waits until the layout is loaded; returns whether it is.
 
-        However many calls wait, one task asks the platform.
+        All waiting calls share one task that reads it from the platform.
 
         Args:
-          timeout_s: most seconds to wait.
+          timeout_s: longest wait in seconds.
         """
         if self._shards > 0:
             return True
@@ -73,13 +75,13 @@
         await asyncio.wait([self._loading], timeout=max(0.0, timeout_s))
         return self._shards > 0
 
-    def name_shard(self, key_digest: str) -> str:
+    def get_shard_name(self, key_digest: str) -> str:
         """Returns the name of the shard that holds a key."""
         number = int(key_digest[:8], 16) % self._shards
         return f"{number:04d}"
 
     def close(self) -> None:
-        """Stops asking the platform."""
+        """Stops loading the layout."""
         if self._loading is not None:
             self._loading.cancel()
 
@@ -98,6 +100,7 @@
         except stores.StoreError as error:
             if error.kind is not _Kind.NOT_FOUND:
                 raise
-        # Whoever loses, or gets no answer, reads what is there next time.
-        value = json.dumps({"shards": self._first_shards}).encode()
+        # An instance whose write conflicts, or gets no reply, reads the stored
+        # layout on its next attempt.
+        value = json.dumps({"shards": self._initial_shards}).encode()
         return await self._store.write(LAYOUT_NAME, value, positions.NOWHERE)
--- a/rhubarblock/relay/claims/ledger.py
+++ b/rhubarblock/relay/claims/ledger.py
@@ -1,10 +1,11 @@
-"""The ledger of claims: which idempotency keys have been used, and for what.
+"""The ledger of claims: which idempotency keys were used, and for which call.
 
-A call that may not run twice is claimed before it is sent. The claim is a row
-in the platform's store, written by conditional update; whoever finds the row
-of another never sends, but waits for the outcome. No lease is involved: a
-holder that is paused for an hour and goes on finds its claim still its own,
-and nobody else has run the call meanwhile.
+A call that must not run twice is claimed before it is sent. The claim is a row
+in the platform's store, written by a conditional update. An instance that finds
+the row of another claim never sends the call, but waits for its outcome.
+
+A claim is not a lease: a holder that resumes after an hour's pause still holds
+its claim, and nobody else has run the call in the meantime.
 """
 
 import asyncio
@@ -35,19 +36,19 @@
 from rhubarblock.store import backoff as backoffs
 from rhubarblock.store import store as stores
 
-# Seconds that a caller waits for a platform that has been failing for longer
-# than the claim timeout: one more try, not the whole timeout each time.
+# Claim timeout in seconds while the platform has been failing for longer than
+# the regular one: enough for one more attempt.
 FAILING_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """The right of one attempt to run a call, once.
+    """The right of one request to run a call once.
 
     Attributes:
-      key_digest: key that it stands for.
-      claim_id: unique to it.
-      deadline_s: latest time to send, in seconds of the monotonic clock.
+      key_digest: digest of the claimed key.
+      claim_id: unique id of the claim.
+      deadline_s: latest time to send the call, in monotonic seconds.
     """
 
     key_digest: str
@@ -56,8 +57,8 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class KeptAnswer:
-    """The call ran before with this key; here is its answer.
+class StoredAnswer:
+    """The stored answer of an earlier call with the key.
 
     Attributes:
       answer: the answer, marked as replayed.
@@ -68,20 +69,20 @@
 
 Shard = claimshard.ShardCommitter | claimroute.ShardRoute
 
-ClaimOutcome = result.Result[Claim | KeptAnswer, failures.Failure]
+ClaimOutcome = result.Result[Claim | StoredAnswer, failures.Failure]
 
 
 class ClaimLedger:
     """Claims keys on behalf of one entry instance.
 
     Attributes:
-      counters: commits, their outcomes and what became of claims.
+      counters: counts commits and the outcomes of commits and claims.
     """
 
     __slots__ = (
+        "_claims_made",
         "_find_coordinator",
         "_instance_id",
-        "_issued",
         "_layout",
         "_peers",
         "_rng",
@@ -104,28 +105,29 @@
         peers: peertransport.PeerTransport | None = None,
         find_coordinator: claimroute.CoordinatorFinder | None = None,
     ):
-        """Creates a ledger; ``open_ledger`` also stops it in order.
+        """Creates a ledger; ``open_ledger`` also shuts it down gracefully.
 
         Args:
           store: object API.
           timers: clock and sleeps.
           instance_id: name of this entry instance.
-          rng: makes ids that are unique over all starts of all instances, and
-            spreads waits. Daemons pass a generator seeded by the system.
+          rng: draws jitter, and ids that must be unique across all starts of
+            all instances. Daemons pass a generator seeded by the system.
           settings: how claims are written, or None for the defaults.
-          peers: carries operations to the coordinators of shards; without it
-            this instance writes all shards by itself.
-          find_coordinator: says who coordinates ``claims/<shard>``.
+          peers: transport to the coordinators of shards; without it this
+            instance writes all shards itself.
+          find_coordinator: returns the address of the coordinator of
+            ``claims/<shard>``.
         """
         self._store = store
         self._timers = timers
         self._instance_id = instance_id
         self._rng = rng
         self._settings = settings or claimsettings.ClaimSettings()
-        # The time tells starts apart even if they were given the same seed.
+        # The time distinguishes starts that were given the same seed.
         started_ms = round(1000 * timers.read_wall())
         self._start_id = f"{started_ms:x}-{rng.getrandbits(64):016x}"
-        self._issued = 0
+        self._claims_made = 0
         self._layout = claimlayout.Layout(
             store,
             timers,
@@ -148,19 +150,19 @@
         attempt_id: str,
         deadline_s: float,
     ) -> ClaimOutcome:
-        """Claims a key, or waits for the outcome of who has claimed it.
+        """Claims a key, or waits for the outcome of the claim that holds it.
 
         Args:
           institution: owner of the key.
           key: idempotency key of the caller.
           digest: digest of the call that the key is bound to.
-          attempt_id: request that asks, for people.
-          deadline_s: latest end, in seconds of the monotonic clock.
+          attempt_id: id of the request, for diagnosis only.
+          deadline_s: deadline of the call, in monotonic seconds.
 
         Returns:
-          A claim, with which exactly one run may be made; or the kept answer
-          of the run before; or a failure whose verdict says whether the call
-          may have run.
+          A claim that allows exactly one run, or the stored answer of an
+          earlier run, or a failure whose verdict says whether the call may
+          have run.
         """
         key_digest = claimrow.digest_key(institution, key)
         while True:
@@ -176,40 +178,40 @@
             if claimed.body_digest != digest:
                 self.counters["claim.conflict"] += 1
                 return result.Failure(claimfailures.make_conflict())
-            ended = await self._await_end(claimed, deadline_s)
+            ended = await self._await_outcome(claimed, deadline_s)
             if ended is not None:
-                return self._report_end(ended)
-            # The other one released the key without having run the call.
+                return self._make_outcome(ended)
+            # The other claim was released without running the call.
 
     async def finish(
         self, claim: Claim, answer: requests.ServiceAnswer
     ) -> None:
-        """Records the answer of the run; returns once it is kept.
+        """Records the answer of the run; returns when it is stored.
 
         Args:
-          claim: claim that was used.
-          answer: whole answer of the service.
+          claim: the claim that was used.
+          answer: the answer of the service.
         """
-        kept = claimrow.make_answer(answer, self._settings.answer_limit)
-        await self._record(claim, claimrow.RowState.DONE, kept)
+        stored = claimrow.make_answer(answer, self._settings.answer_limit)
+        await self._record(claim, claimrow.RowState.DONE, stored)
 
     async def finish_unknown(self, claim: Claim) -> None:
-        """Records that the call was sent and its answer will not come."""
+        """Records that the call was sent and its answer was lost."""
         await self._record(claim, claimrow.RowState.UNKNOWN, None)
 
     async def release(self, claim: Claim) -> None:
-        """Frees the key of a claim that was not and will not be used."""
+        """Releases the key of a claim that was not used and never will be."""
         self.counters["claim.released"] += 1
         release = claimops.Release(claim.key_digest, claim.claim_id)
         await self._submit_and_wait(release)
 
     async def drain(self) -> None:
-        """Waits until everything queued is recorded."""
+        """Waits until all queued operations are written."""
         await asyncio.gather(*[r.drain() for r in self._routes.values()])
         await asyncio.gather(*[s.drain() for s in self._shards.values()])
 
     def close(self) -> None:
-        """Stops at once; claims not yet recorded as finished stay unknown."""
+        """Stops at once; the outcome of unrecorded claims stays unknown."""
         self._layout.close()
         for route in self._routes.values():
             route.close()
@@ -219,12 +221,12 @@
     async def _try_claim(
         self, row: claimrow.ClaimRow, deadline_s: float
     ) -> claimrow.ClaimRow | failures.Failure:
-        """Returns the row that stands for the key after the try."""
+        """Submits a claim and returns the row that the key then has."""
         now_s = self._timers.read_monotonic()
         end_s = min(deadline_s, now_s + self._settings.claim_timeout_s)
         shard = await self._find_shard(row.key_digest, end_s)
         if shard is None:
-            return self._refuse()
+            return self._make_unavailable()
         if shard.failing_s > self._settings.claim_timeout_s:
             end_s = min(end_s, now_s + FAILING_TIMEOUT_S)
         operation = claimops.Claim(row)
@@ -232,23 +234,23 @@
         left_s = end_s - self._timers.read_monotonic()
         await asyncio.wait([operation.done], timeout=left_s)
         if not operation.done.done():
-            # From here on the row is never used, even if it gets written.
+            # The row may still be written, but must never be used any more.
             operation.abandoned = True
-            return self._refuse()
+            return self._make_unavailable()
         if operation.done.exception() is not None:
-            return self._refuse()
+            return self._make_unavailable()
         found = operation.done.result()
         assert found is not None
         return found
 
-    async def _await_end(
+    async def _await_outcome(
         self, row: claimrow.ClaimRow, deadline_s: float
     ) -> claimrow.ClaimRow | None:
-        """Waits for the outcome of another's claim.
+        """Waits for the outcome of the claim that holds a key.
 
         Returns:
-          The row when it has ended or the deadline has come, or None when the
-          key was released.
+          The row at its outcome, or at the deadline if there is none yet, or
+          None if the claim was released.
         """
         poll_s = self._settings.poll_s
         while row.state is claimrow.RowState.CLAIMED:
@@ -270,7 +272,7 @@
     async def _look_up(
         self, row: claimrow.ClaimRow, deadline_s: float
     ) -> claimrow.ClaimRow | None:
-        """Returns the present row of a key, or the given one if unknown."""
+        """Returns the current row of a key, or `row` if it can't be read."""
         shard = await self._find_shard(row.key_digest, deadline_s)
         if shard is None:
             return row
@@ -283,20 +285,22 @@
             return row
         return operation.done.result()
 
-    def _report_end(self, row: claimrow.ClaimRow) -> ClaimOutcome:
+    def _make_outcome(self, row: claimrow.ClaimRow) -> ClaimOutcome:
         if row.state is not claimrow.RowState.DONE or row.answer is None:
             self.counters["claim.outcome_unknown"] += 1
             return result.Failure(claimfailures.make_unknown())
         self.counters["claim.replayed"] += 1
         if row.answer.body is None:
-            return result.Failure(claimfailures.make_not_kept(row.answer))
+            return result.Failure(
+                claimfailures.make_answer_not_stored(row.answer)
+            )
         answer = requests.ServiceAnswer(
             status=row.answer.status,
             body=row.answer.body,
             content_type=row.answer.content_type,
             replayed=True,
         )
-        return result.Success(KeptAnswer(answer))
+        return result.Success(StoredAnswer(answer))
 
     async def _record(
         self,
@@ -311,19 +315,19 @@
         await self._submit_and_wait(operation)
 
     async def _submit_and_wait(self, operation: claimops.Operation) -> None:
-        # A claim was granted before, so the layout is known.
+        # The layout is loaded, since a claim was granted before.
         self._get_shard(operation.key_digest).submit(operation)
         await operation.done
 
     async def _find_shard(self, key_digest: str, end_s: float) -> Shard | None:
-        """Returns the shard of a key, or None if the layout is not known."""
+        """Returns the shard of a key, or None if no layout is loaded."""
         left_s = end_s - self._timers.read_monotonic()
-        if not await self._layout.wait_known(left_s):
+        if not await self._layout.wait_loaded(left_s):
             return None
         return self._get_shard(key_digest)
 
     def _get_shard(self, key_digest: str) -> Shard:
-        name = self._layout.name_shard(key_digest)
+        name = self._layout.get_shard_name(key_digest)
         if self._peers is None or self._find_coordinator is None:
             return self._get_committer(name)
         if name not in self._routes:
@@ -344,12 +348,15 @@
         return self._shards[shard]
 
     async def _commit_forwarded(self, sender_id: str, message: bytes) -> bytes:
-        """Answers a batch of another instance; any error makes it fall back."""
+        """Applies a batch of another instance.
+
+        After any error the sender writes the operations itself.
+        """
         batch = claimwire.decode_batch(message)
-        if not await self._layout.wait_known(batch.left_s):
+        if not await self._layout.wait_loaded(batch.left_s):
             raise TimeoutError
         self.counters["forward.received"] += len(batch.operations)
-        name = self._layout.name_shard(batch.operations[0].key_digest)
+        name = self._layout.get_shard_name(batch.operations[0].key_digest)
         return await claimroute.commit_batch(batch, self._get_committer(name))
 
     def _make_shard(self, shard: str) -> claimshard.ShardCommitter:
@@ -381,10 +388,10 @@
         attempt_id: str,
         deadline_s: float,
     ) -> claimrow.ClaimRow:
-        # The id is the ledger's own: two requests that callers gave the same
-        # id must not take each other's claim for their own.
-        self._issued += 1
-        claim_id = f"{self._instance_id}.{self._start_id}.{self._issued}"
+        # The claim id does not depend on the request id: two requests with the
+        # same id must not take each other's claim for their own.
+        self._claims_made += 1
+        claim_id = f"{self._instance_id}.{self._start_id}.{self._claims_made}"
         now_wall_s = self._timers.read_wall()
         left_s = max(0.0, deadline_s - self._timers.read_monotonic())
         return claimrow.ClaimRow(
@@ -397,7 +404,7 @@
             until_wall_s=round(now_wall_s + left_s, 3),
         )
 
-    def _refuse(self) -> failures.Failure:
+    def _make_unavailable(self) -> failures.Failure:
         self.counters["claim.unavailable"] += 1
         return claimfailures.make_unavailable()
 
@@ -412,16 +419,17 @@
     peers: peertransport.PeerTransport | None = None,
     find_coordinator: claimroute.CoordinatorFinder | None = None,
 ) -> AsyncIterator[ClaimLedger]:
-    """Keeps a ledger open; at the end it records what is queued.
+    """Opens a ledger; drains and closes it when the context ends.
 
     Args:
       store: object API.
       timers: clock and sleeps.
       instance_id: name of this entry instance.
-      rng: makes unique ids and spreads waits.
+      rng: draws unique ids and jitter.
       settings: how claims are written, or None for the defaults.
-      peers: carries operations to the coordinators of shards, or None.
-      find_coordinator: says who coordinates ``claims/<shard>``, or None.
+      peers: transport to the coordinators of shards, or None.
+      find_coordinator: returns the address of the coordinator of
+        ``claims/<shard>``, or None.
 
     Yields:
       The ledger.
--- a/rhubarblock/relay/claims/ledger_test.py
+++ b/rhubarblock/relay/claims/ledger_test.py
@@ -1,7 +1,7 @@
-"""Tests of at-most-once calls under the faults of the platform.
+"""Tests of at-most-once calls while the platform or an instance fails.
 
 Two or three instances share a stand-in platform and a stand-in service that
-counts the runs of each key.
+logs every run.
 """
 
 import asyncio
@@ -27,13 +27,13 @@
 _Code = failures.FailureCode
 _Verdict = verdicts.Verdict
 
-# Wall time of the clock's zero; any day will do.
+# Wall time at the start of the tests; an arbitrary value.
 WALL_S = 1_000_000.0
 DAY_S = 86_400.0
 
 
-class Desk:
-    """Instances of the system before one service."""
+class Cluster:
+    """Instances that share a platform and a service."""
 
     def __init__(self, instances: int = 2, wall_offsets=(), **settings):
         self.timers = timer_service.LoopTimers(WALL_S)
@@ -71,7 +71,7 @@
         )
 
     async def call(self, number: int, key: str = "k1", **fields):
-        """Calls through one instance and says what the caller sees."""
+        """Calls through one instance; returns what the caller sees."""
         now_s = self.timers.read_monotonic()
         call = service_test.make_call(
             key=key, **{"deadline_s": now_s + 30.0, **fields}
@@ -83,7 +83,7 @@
         failure = outcome.failure()
         return failure.code, failure.verdict
 
-    async def settle(self) -> None:
+    async def drain(self) -> None:
         for caller, ledger in zip(self.callers, self.ledgers, strict=True):
             await caller.drain()
             await ledger.drain()
@@ -99,241 +99,242 @@
 CUT = (_Code.ENDPOINT_FAILED, _Verdict.MAY_HAVE_RUN)
 
 
-def test_same_key_at_two_instances_at_once_runs_once() -> None:
+def test_concurrent_calls_with_a_key_at_two_instances_run_once() -> None:
     async def main() -> None:
-        desk = Desk()
-        seen = await asyncio.gather(desk.call(0), desk.call(1))
+        cluster = Cluster()
+        seen = await asyncio.gather(cluster.call(0), cluster.call(1))
         assert sorted(seen) == ["ran", "replayed"]
-        assert desk.runs == 1
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_same_key_many_times_at_one_instance_runs_once() -> None:
+def test_concurrent_calls_with_a_key_at_one_instance_run_once() -> None:
     async def main() -> None:
-        desk = Desk(instances=1)
-        seen = await asyncio.gather(*[desk.call(0) for _ in range(5)])
+        cluster = Cluster(instances=1)
+        seen = await asyncio.gather(*[cluster.call(0) for _ in range(5)])
         assert sorted(seen) == ["ran"] + ["replayed"] * 4
-        assert desk.runs == 1
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_same_key_after_an_hour_has_the_first_answer() -> None:
+def test_key_sent_again_after_an_hour_gets_the_stored_answer() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0) == "ran"
+        cluster = Cluster()
+        assert await cluster.call(0) == "ran"
         await asyncio.sleep(3600)
-        assert await desk.call(1) == "replayed"
-        assert desk.runs == 1
+        assert await cluster.call(1) == "replayed"
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_same_key_with_another_body_is_a_conflict() -> None:
+def test_key_with_another_body_is_a_conflict() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0) == "ran"
-        assert await desk.call(1, digest="d2") == CONFLICT
-        assert desk.runs == 1
+        cluster = Cluster()
+        assert await cluster.call(0) == "ran"
+        assert await cluster.call(1, digest="d2") == CONFLICT
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_keys_of_two_institutions_are_apart() -> None:
+def test_institutions_have_separate_keys() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0) == "ran"
-        assert await desk.call(1, institution="hofbauer") == "ran"
+        cluster = Cluster()
+        assert await cluster.call(0) == "ran"
+        assert await cluster.call(1, institution="hofbauer") == "ran"
 
     virtualloop.run(main())
 
 
-def test_keys_cannot_run_into_the_institution() -> None:
+def test_digest_separates_institution_and_key() -> None:
     first = claimrow.digest_key("ab", "c")
     assert first != claimrow.digest_key("a", "bc")
 
 
-def test_platform_down_is_refused_and_back_soon_after() -> None:
+def test_claims_are_refused_in_an_outage_and_granted_after_it() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0, key="k0") == "ran"
-        await desk.settle()
-        desk.store.faults.start_outage()
-        assert await desk.call(0) == UNAVAILABLE
-        assert await desk.call(1) == UNAVAILABLE
+        cluster = Cluster()
+        assert await cluster.call(0, key="k0") == "ran"
+        await cluster.drain()
+        cluster.store.faults.start_outage()
+        assert await cluster.call(0) == UNAVAILABLE
+        assert await cluster.call(1) == UNAVAILABLE
         await asyncio.sleep(3600)
-        assert await desk.call(0) == UNAVAILABLE
-        desk.store.faults.end_outage()
-        assert await desk.call(0) == "ran"
-        assert await desk.call(1) == "replayed"
-        assert desk.runs == 2
+        assert await cluster.call(0) == UNAVAILABLE
+        cluster.store.faults.end_outage()
+        assert await cluster.call(0) == "ran"
+        assert await cluster.call(1) == "replayed"
+        assert cluster.runs == 2
 
     virtualloop.run(main())
 
 
-def test_outage_is_not_hammered_and_return_makes_no_herd() -> None:
+def test_outage_and_recovery_cause_few_platform_calls() -> None:
     async def main() -> None:
-        desk = Desk(instances=1)
-        assert await desk.call(0, key="k0") == "ran"
-        await desk.settle()
-        desk.store.faults.start_outage()
-        desk.store.counters.clear()
+        cluster = Cluster(instances=1)
+        assert await cluster.call(0, key="k0") == "ran"
+        await cluster.drain()
+        cluster.store.faults.start_outage()
+        cluster.store.counters.clear()
         calls = [
-            asyncio.ensure_future(desk.call(0, key=f"k{n}", deadline_s=1e9))
+            asyncio.ensure_future(cluster.call(0, key=f"k{n}", deadline_s=1e9))
             for n in range(1, 401)
         ]
         outcomes = await asyncio.gather(*calls)
         assert set(outcomes) == {UNAVAILABLE}
-        # 16 shards that try about once a second for five seconds.
-        assert desk.store.counters["read"] < 16 * 20
-        # Only a shard that this instance writes alone is not read first.
-        assert desk.store.counters["write"] <= 16
-        desk.store.faults.end_outage()
-        desk.store.counters.clear()
+        # Shards retry about once a second for five seconds; the bound would
+        # allow for 16 of them.
+        assert cluster.store.counters["read"] < 16 * 20
+        # Only a sole writer writes a shard without reading it first.
+        assert cluster.store.counters["write"] <= 16
+        cluster.store.faults.end_outage()
+        cluster.store.counters.clear()
         outcomes = await asyncio.gather(
-            *[desk.call(0, key=f"k{n}") for n in range(1, 401)]
+            *[cluster.call(0, key=f"k{n}") for n in range(1, 401)]
         )
         assert set(outcomes) == {"ran"}
-        assert desk.store.counters["write"] < 150
+        assert cluster.store.counters["write"] < 150
 
     virtualloop.run(main())
 
 
-def test_slow_platform_still_grants() -> None:
+def test_slow_platform_still_confirms_claims() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.store.faults.slow_s = 0.8
-        seen = await asyncio.gather(desk.call(0), desk.call(1))
+        cluster = Cluster()
+        cluster.store.faults.slow_s = 0.8
+        seen = await asyncio.gather(cluster.call(0), cluster.call(1))
         assert sorted(seen) == ["ran", "replayed"]
-        desk.store.faults.slow_s = 60.0
-        assert await desk.call(0, key="k2") == UNAVAILABLE
-        assert desk.runs == 1
+        cluster.store.faults.slow_s = 60.0
+        assert await cluster.call(0, key="k2") == UNAVAILABLE
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
 @pytest.mark.parametrize("fault", ["lose_answers_next", "lose_before_next"])
-def test_lost_answer_of_a_claim(fault) -> None:
+def test_claim_with_a_lost_reply_runs_the_call_once(fault) -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0, key="k0") == "ran"
-        await desk.settle()
-        setattr(desk.store.faults, fault, 1)
-        seen = await asyncio.gather(desk.call(0), desk.call(1))
+        cluster = Cluster()
+        assert await cluster.call(0, key="k0") == "ran"
+        await cluster.drain()
+        setattr(cluster.store.faults, fault, 1)
+        seen = await asyncio.gather(cluster.call(0), cluster.call(1))
         assert sorted(seen) == ["ran", "replayed"]
-        assert desk.runs == 2
+        assert cluster.runs == 2
 
     virtualloop.run(main())
 
 
-def test_claim_whose_caller_was_refused_is_freed() -> None:
+def test_claim_of_a_refused_caller_is_released() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0, key="k0") == "ran"
-        await desk.settle()
-        desk.store.faults.lose_answers_next = 1
-        desk.store.faults.unsure_after_s = 20.0
-        assert await desk.call(0) == UNAVAILABLE
-        assert desk.runs == 1
-        # The claim is there, and so the other caller waits until the first
-        # instance, which never used it, has taken it back.
-        assert await desk.call(1) == "ran"
-        assert desk.runs == 2
+        cluster = Cluster()
+        assert await cluster.call(0, key="k0") == "ran"
+        await cluster.drain()
+        cluster.store.faults.lose_answers_next = 1
+        cluster.store.faults.unsure_after_s = 20.0
+        assert await cluster.call(0) == UNAVAILABLE
+        assert cluster.runs == 1
+        # The claim was written, so the other caller waits until the first
+        # instance, which never used it, has released it.
+        assert await cluster.call(1) == "ran"
+        assert cluster.runs == 2
 
     virtualloop.run(main())
 
 
-def test_lost_answer_of_a_finish_is_recorded_later() -> None:
+def test_outcome_is_recorded_after_lost_writes() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0) == "ran"
-        desk.store.faults.lose_before_next = 2
-        assert await desk.call(1) == "replayed"
+        cluster = Cluster()
+        assert await cluster.call(0) == "ran"
+        cluster.store.faults.lose_before_next = 2
+        assert await cluster.call(1) == "replayed"
 
     virtualloop.run(main())
 
 
-def test_call_that_may_have_run_stays_unknown() -> None:
+def test_outcome_of_a_call_that_may_have_run_stays_unknown() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.service.faults.cut_after_run_next = 1
-        assert await desk.call(0) == CUT
-        await desk.settle()
-        assert await desk.call(1) == UNKNOWN
+        cluster = Cluster()
+        cluster.service.faults.cut_after_run_next = 1
+        assert await cluster.call(0) == CUT
+        await cluster.drain()
+        assert await cluster.call(1) == UNKNOWN
         await asyncio.sleep(3600)
-        assert await desk.call(0) == UNKNOWN
-        assert desk.runs == 1
+        assert await cluster.call(0) == UNKNOWN
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_holder_that_dies_leaves_the_outcome_unknown() -> None:
+def test_outcome_is_unknown_if_the_claiming_instance_dies() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.service.pause()
-        first = asyncio.ensure_future(desk.call(0))
+        cluster = Cluster()
+        cluster.service.pause()
+        first = asyncio.ensure_future(cluster.call(0))
         await asyncio.sleep(1)
-        desk.callers[0].close()
-        desk.ledgers[0].close()
-        assert await desk.call(1) == UNKNOWN
-        # Nobody waits for an answer that can no longer come.
+        cluster.callers[0].close()
+        cluster.ledgers[0].close()
+        assert await cluster.call(1) == UNKNOWN
+        # After the deadline of the call, no caller waits for its outcome.
         await asyncio.sleep(3600)
-        before_s = desk.timers.read_monotonic()
-        assert await desk.call(1) == UNKNOWN
-        assert desk.timers.read_monotonic() - before_s < 1.0
-        desk.service.resume()
+        before_s = cluster.timers.read_monotonic()
+        assert await cluster.call(1) == UNKNOWN
+        assert cluster.timers.read_monotonic() - before_s < 1.0
+        cluster.service.resume()
         await asyncio.sleep(1)
-        assert desk.runs == 1
+        assert cluster.runs == 1
         await asyncio.gather(first, return_exceptions=True)
 
     virtualloop.run(main())
 
 
-def test_second_caller_waits_for_the_first_answer() -> None:
+def test_second_caller_waits_for_the_answer_of_the_first() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.service.faults.slow_s = 20.0
-        first = asyncio.ensure_future(desk.call(0))
+        cluster = Cluster()
+        cluster.service.faults.slow_s = 20.0
+        first = asyncio.ensure_future(cluster.call(0))
         await asyncio.sleep(1)
-        assert await desk.call(1, deadline_s=5.0) == UNKNOWN
-        assert await desk.call(1) == "replayed"
+        assert await cluster.call(1, deadline_s=5.0) == UNKNOWN
+        assert await cluster.call(1) == "replayed"
         assert await first == "ran"
-        assert desk.runs == 1
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_refused_call_frees_its_key() -> None:
+def test_call_refused_by_the_service_releases_its_key() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.service.faults.draining = True
+        cluster = Cluster()
+        cluster.service.faults.draining = True
         refused = (_Code.NO_ENDPOINT, _Verdict.NOT_RUN)
-        assert await desk.call(0) == refused
-        desk.service.faults.draining = False
-        assert await desk.call(1) == "ran"
-        assert desk.runs == 1
+        assert await cluster.call(0) == refused
+        cluster.service.faults.draining = False
+        assert await cluster.call(1) == "ran"
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_caller_that_goes_away_finds_the_answer_later() -> None:
+def test_answer_is_stored_if_the_caller_disconnects() -> None:
     async def main() -> None:
-        desk = Desk()
-        first = asyncio.ensure_future(desk.call(0))
+        cluster = Cluster()
+        first = asyncio.ensure_future(cluster.call(0))
         await asyncio.sleep(0.001)
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        assert await desk.call(1) == "replayed"
-        assert desk.runs == 1
+        assert await cluster.call(1) == "replayed"
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_holder_paused_between_claim_and_send_does_not_send() -> None:
+def test_instance_paused_after_the_claim_does_not_send_late() -> None:
     async def main() -> None:
-        desk = Desk()
-        granted = desk.ledgers[0].claim
+        cluster = Cluster()
+        granted = cluster.ledgers[0].claim
 
         async def claim_and_pause(*args):
             outcome = await granted(*args)
@@ -342,216 +343,216 @@
 
         class PausingLedger:
             claim = staticmethod(claim_and_pause)
-            release = desk.ledgers[0].release
+            release = cluster.ledgers[0].release
 
-        desk.callers[0]._claims = PausingLedger()
-        paused = asyncio.ensure_future(desk.call(0))
+        cluster.callers[0]._claims = PausingLedger()
+        paused = asyncio.ensure_future(cluster.call(0))
         await asyncio.sleep(1)
-        assert await desk.call(1) == UNKNOWN
+        assert await cluster.call(1) == UNKNOWN
         late = (_Code.DEADLINE_EXCEEDED, _Verdict.NOT_RUN)
         assert await paused == late
-        assert desk.runs == 0
-        assert await desk.call(1) == "ran"
+        assert cluster.runs == 0
+        assert await cluster.call(1) == "ran"
 
     virtualloop.run(main())
 
 
-def test_instance_cut_off_from_the_platform_refuses() -> None:
+def test_instance_without_a_platform_connection_refuses_claims() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0, key="k0") == "ran"
-        assert await desk.call(1, key="k00") == "ran"
-        await desk.settle()
-        desk.connections[0].cut_off()
-        seen = await asyncio.gather(desk.call(0), desk.call(1))
+        cluster = Cluster()
+        assert await cluster.call(0, key="k0") == "ran"
+        assert await cluster.call(1, key="k00") == "ran"
+        await cluster.drain()
+        cluster.connections[0].cut_off()
+        seen = await asyncio.gather(cluster.call(0), cluster.call(1))
         assert seen == [UNAVAILABLE, "ran"]
-        desk.connections[0].join()
-        assert await desk.call(0) == "replayed"
+        cluster.connections[0].join()
+        assert await cluster.call(0) == "replayed"
 
     virtualloop.run(main())
 
 
-def test_older_state_of_the_platform_grants_nothing_twice() -> None:
+def test_stale_reads_grant_no_second_claim() -> None:
     async def main() -> None:
-        desk = Desk()
-        assert await desk.call(0) == "ran"
-        await desk.settle()
-        desk.store.faults.stale_s = 60.0
-        assert await desk.call(1) == UNAVAILABLE
-        desk.store.faults.stale_s = 0.0
-        assert await desk.call(1) == "replayed"
-        assert desk.runs == 1
+        cluster = Cluster()
+        assert await cluster.call(0) == "ran"
+        await cluster.drain()
+        cluster.store.faults.stale_s = 60.0
+        assert await cluster.call(1) == UNAVAILABLE
+        cluster.store.faults.stale_s = 0.0
+        assert await cluster.call(1) == "replayed"
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def test_answer_too_large_to_keep() -> None:
+def test_answer_too_large_to_store_is_not_replayed() -> None:
     async def main() -> None:
-        desk = Desk(answer_limit=10)
-        assert await desk.call(0) == "ran"
-        assert await desk.call(1) == (_Code.OUTCOME_UNKNOWN, _Verdict.RAN)
-        assert desk.runs == 1
+        cluster = Cluster(answer_limit=10)
+        assert await cluster.call(0) == "ran"
+        assert await cluster.call(1) == (_Code.OUTCOME_UNKNOWN, _Verdict.RAN)
+        assert cluster.runs == 1
 
     virtualloop.run(main())
 
 
-def count_heads(desk: Desk) -> dict[str, int]:
+def count_objects(cluster: Cluster) -> dict[str, int]:
     kinds = (
         claimtable.HEAD_PREFIX,
         claimtable.KEYS_PREFIX,
         claimtable.ROWS_PREFIX,
     )
-    return {kind: len(desk.store.state.find_all(kind)) for kind in kinds}
+    return {kind: len(cluster.store.state.find_all(kind)) for kind in kinds}
 
 
-def test_old_claims_are_sealed_and_still_found() -> None:
+def test_sealed_claims_are_still_found() -> None:
     async def main() -> None:
-        desk = Desk(shards=1, seal_bytes=4000)
+        cluster = Cluster(shards=1, seal_bytes=4000)
         for number in range(40):
-            assert await desk.call(number % 2, key=f"k{number}") == "ran"
-            await desk.settle()
-        counts = count_heads(desk)
+            assert await cluster.call(number % 2, key=f"k{number}") == "ran"
+            await cluster.drain()
+        counts = count_objects(cluster)
         assert counts["claimkeys/"] == counts["claimrows/"] > 0
-        head = desk.store.state.find("claims/0000")
+        head = cluster.store.state.find("claims/0000")
         assert head is not None and len(head.value) < 5000
-        # An instance that starts now has to read the segments.
-        desk._add("i2", 0.0, {"shards": 1})
+        # A new instance must read the segments.
+        cluster._add("i2", 0.0, {"shards": 1})
         for number in range(40):
-            assert await desk.call(2, key=f"k{number}") == "replayed"
-        assert desk.runs == 40
+            assert await cluster.call(2, key=f"k{number}") == "replayed"
+        assert cluster.runs == 40
 
     virtualloop.run(main())
 
 
-def test_small_segments_become_one() -> None:
+def test_small_segments_are_merged() -> None:
     async def main() -> None:
-        desk = Desk(shards=1, seal_bytes=1000)
+        cluster = Cluster(shards=1, seal_bytes=1000)
         for number in range(60):
-            assert await desk.call(number % 2, key=f"k{number}") == "ran"
-            await desk.settle()
+            assert await cluster.call(number % 2, key=f"k{number}") == "ran"
+            await cluster.drain()
         await asyncio.sleep(700)
         for number in range(60, 64):
-            assert await desk.call(0, key=f"k{number}") == "ran"
-            await desk.settle()
-        counts = count_heads(desk)
+            assert await cluster.call(0, key=f"k{number}") == "ran"
+            await cluster.drain()
+        counts = count_objects(cluster)
         assert counts["claimkeys/"] == counts["claimrows/"] < 20
-        desk._add("i2", 0.0, {"shards": 1})
+        cluster._add("i2", 0.0, {"shards": 1})
         for number in range(64):
-            assert await desk.call(2, key=f"k{number}") == "replayed"
+            assert await cluster.call(2, key=f"k{number}") == "replayed"
 
     virtualloop.run(main())
 
 
-def test_claims_are_collected_after_the_retention_only() -> None:
+def test_claims_are_deleted_only_after_the_retention() -> None:
     async def main() -> None:
-        # The first instance's clock is five minutes ahead, the other behind.
-        desk = Desk(
+        # One clock is five minutes fast and the other five minutes slow.
+        cluster = Cluster(
             wall_offsets=(300.0, -300.0),
             shards=1,
             seal_bytes=2000,
             clock_error_s=300.0,
         )
         for number in range(20):
-            assert await desk.call(1, key=f"k{number}") == "ran"
-            await desk.settle()
-        segments = count_heads(desk)["claimkeys/"]
+            assert await cluster.call(1, key=f"k{number}") == "ran"
+            await cluster.drain()
+        segments = count_objects(cluster)["claimkeys/"]
         assert segments > 0
         await asyncio.sleep(DAY_S - 60.0)
-        assert await desk.call(0, key="new1") == "ran"
-        await desk.settle()
+        assert await cluster.call(0, key="new1") == "ran"
+        await cluster.drain()
         for number in range(20):
-            assert await desk.call(0, key=f"k{number}") == "replayed"
-        assert count_heads(desk)["claimkeys/"] >= segments
+            assert await cluster.call(0, key=f"k{number}") == "replayed"
+        assert count_objects(cluster)["claimkeys/"] >= segments
         await asyncio.sleep(3600)
         for number in range(3):
-            assert await desk.call(0, key=f"new2-{number}") == "ran"
-            await desk.settle()
+            assert await cluster.call(0, key=f"new2-{number}") == "ran"
+            await cluster.drain()
             await asyncio.sleep(700)
-        counts = count_heads(desk)
+        counts = count_objects(cluster)
         assert counts["claimkeys/"] == counts["claimrows/"] <= 1
-        assert desk.runs == 24
+        assert cluster.runs == 24
 
     virtualloop.run(main())
 
 
-def test_sealing_that_was_given_up_is_cleared_away() -> None:
+def test_abandoned_segments_are_deleted() -> None:
     async def main() -> None:
-        desk = Desk(shards=1, seal_bytes=2000)
+        cluster = Cluster(shards=1, seal_bytes=2000)
         number = 0
-        while not desk.store.state.find_all("claimrows/"):
+        while not cluster.store.state.find_all("claimrows/"):
             number += 1
-            desk.store.faults.lose_answers_share = 0.3
-            assert await desk.call(0, key=f"k{number}") == "ran"
-            await desk.settle()
-        desk.store.faults.lose_answers_share = 0.0
+            cluster.store.faults.lose_answers_share = 0.3
+            assert await cluster.call(0, key=f"k{number}") == "ran"
+            await cluster.drain()
+        cluster.store.faults.lose_answers_share = 0.0
         for extra in range(10):
             await asyncio.sleep(70)
-            assert await desk.call(1, key=f"x{extra}") == "ran"
-            await desk.settle()
-        value = desk.store.state.find("claims/0000").value
+            assert await cluster.call(1, key=f"x{extra}") == "ran"
+            await cluster.drain()
+        value = cluster.store.state.find("claims/0000").value
         table = claimtable.decode_table(value, positions.Position(0, 1))
         listed = {s.segment_id for s in table.segments}
-        stored = desk.store.state.find_all("claimrows/")
+        stored = cluster.store.state.find_all("claimrows/")
         names = {o.name.removeprefix("claimrows/") for o in stored}
         assert names == listed
         for past in range(1, number + 1):
-            assert await desk.call(1, key=f"k{past}") == "replayed"
+            assert await cluster.call(1, key=f"k{past}") == "replayed"
 
     virtualloop.run(main())
 
 
-def test_full_shard_refuses_and_keeps_what_it_has() -> None:
+def test_full_shard_refuses_claims_and_keeps_its_rows() -> None:
     async def main() -> None:
-        desk = Desk(shards=1, seal_bytes=10**9, head_limit=2000)
-        seen = [await desk.call(0, key=f"k{n}") for n in range(12)]
+        cluster = Cluster(shards=1, seal_bytes=10**9, head_limit=2000)
+        seen = [await cluster.call(0, key=f"k{n}") for n in range(12)]
         assert "ran" in seen and UNAVAILABLE in seen
-        await desk.settle()
-        assert await desk.call(1, key="k0") == "replayed"
-        assert desk.runs == seen.count("ran")
+        await cluster.drain()
+        assert await cluster.call(1, key="k0") == "replayed"
+        assert cluster.runs == seen.count("ran")
 
     virtualloop.run(main())
 
 
-def test_many_claims_share_writes_within_the_budget() -> None:
+def test_many_claims_share_writes_within_the_write_rate() -> None:
     async def main() -> float:
-        desk = Desk(instances=1, shards=4, writes_per_s=10.0)
-        before_s = desk.timers.read_monotonic()
+        cluster = Cluster(instances=1, shards=4, writes_per_s=10.0)
+        before_s = cluster.timers.read_monotonic()
         seen = await asyncio.gather(
-            *[desk.call(0, key=f"k{n}") for n in range(200)]
+            *[cluster.call(0, key=f"k{n}") for n in range(200)]
         )
-        await desk.settle()
+        await cluster.drain()
         assert set(seen) == {"ran"}
-        writes = desk.store.counters["write"]
-        seconds = desk.timers.read_monotonic() - before_s
-        # The budget is a rate with a burst of half a second and one write to
-        # agree on the shards.
+        writes = cluster.store.counters["write"]
+        seconds = cluster.timers.read_monotonic() - before_s
+        # The rate allows a burst of half a second; the layout takes one write
+        # more.
         assert writes <= 10.0 * (seconds + 0.5) + 2
         return writes
 
     assert virtualloop.run(main()) < 30
 
 
-def test_ledger_records_what_is_queued_when_it_closes() -> None:
+def test_closing_ledger_records_queued_outcomes() -> None:
     async def main() -> None:
-        desk = Desk()
+        cluster = Cluster()
         async with claims.open_ledger(
-            desk.store.connect("i9"), desk.timers, "i9", random.Random(9)
+            cluster.store.connect("i9"), cluster.timers, "i9", random.Random(9)
         ) as ledger:
             caller = servicecalls.ServiceCaller(
                 ledger,
-                desk.client,
+                cluster.client,
                 lambda call, failed: "desk:1",
-                desk.timers,
+                cluster.timers,
                 random.Random(3),
             )
             async with servicecalls.open_caller(caller):
                 await caller.call(service_test.make_call())
-        assert await desk.call(0) == "replayed"
+        assert await cluster.call(0) == "replayed"
 
     virtualloop.run(main())
 
 
-def test_head_is_read_as_it_was_written() -> None:
+def test_head_survives_encoding() -> None:
     answer = claimrow.RowAnswer(200, "text/plain", b"\xff", "a1")
     row = claimrow.ClaimRow(
         "00ff" * 8, "b1", "c1", "r1", claimrow.RowState.DONE, 1.5, 2.5, answer
--- a/rhubarblock/relay/claims/ops.py
+++ b/rhubarblock/relay/claims/ops.py
@@ -1,8 +1,8 @@
-"""What can be asked of the claims of a shard.
+"""Operations on the claims of a shard.
 
-Operations of one instance wait in a queue and are applied together to the
-head of the shard, which is then written once. Applying one a second time, to
-a head that already shows its effect, changes nothing.
+Operations of one instance are queued and applied to the head of the shard in
+batches; each batch is one write. Operations are idempotent: applying one to a
+head that already contains its effect changes nothing.
 """
 
 import abc
@@ -17,13 +17,14 @@
     """One operation on one key.
 
     Attributes:
-      key_digest: key that it is about.
-      found: after applying, the row that stands for the key, or None.
+      key_digest: digest of the key.
+      found: the row of the key after the operation was applied, or None.
       done: resolved with ``found`` once the effect is certain.
-      unsure: whether a write with this operation went out whose effect is not
-        known; such a write may still be on its way.
-      abandoned: whether nobody waits for it any more.
-      urgent: whether a caller waits, so that it is written at once.
+      unsure: whether a write with this operation was sent and its outcome is
+        unknown; such a write may still take effect later.
+      abandoned: whether nobody waits for the result any more.
+      urgent: whether a caller waits for the result, so that it is written
+        without delay.
     """
 
     __slots__ = ("abandoned", "done", "found", "key_digest", "unsure")
@@ -31,7 +32,7 @@
     urgent = False
 
     def __init__(self, key_digest: str):
-        """Creates an operation that has not been applied."""
+        """Creates an operation that has not been applied yet."""
         self.key_digest = key_digest
         self.found: claimrow.ClaimRow | None = None
         self.unsure = False
@@ -42,49 +43,52 @@
     def apply(
         self,
         table: claimtable.ClaimTable,
-        present: claimrow.ClaimRow | None,
+        current: claimrow.ClaimRow | None,
     ) -> None:
-        """Changes the head of the shard.
+        """Applies the operation to the head of the shard.
 
         Args:
           table: the head.
-          present: the row of the key, from the head or from a segment.
+          current: the row of the key, from the head or a segment, or None.
         """
 
     @abc.abstractmethod
     def is_certain(self) -> bool:
-        """Says whether what was found holds although the head may be older.
+        """Returns whether the result holds even if the head was outdated.
 
-        What has been applied to an older head is not certain by itself, but is
-        confirmed or refused when the head is written.
+        A change made to an outdated head counts as certain too, since the
+        conditional write of the head confirms or refuses it.
         """
 
     def make_release(self) -> "Release | None":
-        """Returns what undoes this operation after it was abandoned."""
+        """Returns the operation that undoes this one, or None.
+
+        It is called after this operation was abandoned.
+        """
         return None
 
 
 class Claim(Operation):
-    """Creates the row of a key unless there is one."""
+    """Adds the row of a key unless the key has one."""
 
     __slots__ = ("row",)
 
     urgent = True
 
     def __init__(self, row: claimrow.ClaimRow):
-        """Creates the claim with the row to be written."""
+        """Creates a claim that writes the given row."""
         super().__init__(row.key_digest)
         self.row = row
 
     def apply(
         self,
         table: claimtable.ClaimTable,
-        present: claimrow.ClaimRow | None,
+        current: claimrow.ClaimRow | None,
     ) -> None:
-        if present is None:
+        if current is None:
             table.put_row(self.row)
-            present = self.row
-        self.found = present
+            current = self.row
+        self.found = current
 
     def is_certain(self) -> bool:
         if self.found is None or self.found.claim_id == self.row.claim_id:
@@ -103,8 +107,8 @@
 class ForwardedClaim(Claim):
     """A claim that a coordinator writes on behalf of another instance.
 
-    Only the other instance knows whether the claim was used, so the
-    coordinator never releases it.
+    Only that instance knows whether the claim was used, so the coordinator
+    never releases it.
     """
 
     __slots__ = ()
@@ -123,16 +127,16 @@
     def apply(
         self,
         table: claimtable.ClaimTable,
-        present: claimrow.ClaimRow | None,
+        current: claimrow.ClaimRow | None,
     ) -> None:
-        self.found = present
+        self.found = current
 
     def is_certain(self) -> bool:
         return False
 
 
 class Finish(Operation):
-    """Records what became of the one run of a claim."""
+    """Records the outcome of the run that a claim allowed."""
 
     __slots__ = ("answer", "claim_id", "state")
 
@@ -146,10 +150,10 @@
         """Creates the operation.
 
         Args:
-          key_digest: key of the claim.
-          claim_id: claim that ended; a row of another one stays as it is.
+          key_digest: digest of the claim's key.
+          claim_id: claim that ended; the row of another claim is not changed.
           state: new state.
-          answer: answer of the run, if there is one.
+          answer: answer of the run, or None.
         """
         super().__init__(key_digest)
         self.claim_id = claim_id
@@ -159,17 +163,18 @@
     def apply(
         self,
         table: claimtable.ClaimTable,
-        present: claimrow.ClaimRow | None,
+        current: claimrow.ClaimRow | None,
     ) -> None:
-        self.found = present
-        if present is None or present.claim_id != self.claim_id:
+        self.found = current
+        if current is None or current.claim_id != self.claim_id:
             return
         if self.key_digest not in table.lines:
-            # The row was sealed long after the end of the call.
+            # Rows in segments never change. An unfinished row is sealed only
+            # long after the deadline of its call.
             return
-        if present.state is claimrow.RowState.CLAIMED:
+        if current.state is claimrow.RowState.CLAIMED:
             self.found = dataclasses.replace(
-                present, state=self.state, answer=self.answer
+                current, state=self.state, answer=self.answer
             )
             table.put_row(self.found)
 
@@ -178,10 +183,10 @@
 
 
 class Release(Operation):
-    """Removes the row of a claim that certainly was not and will not be used.
+    """Removes the row of a claim that was not used and never will be.
 
-    It always writes: a write of the claim whose answer was lost may still be
-    on its way, and a later version of the head keeps it from taking effect.
+    It always writes the head: a write of the claim whose reply was lost may
+    still be delayed, and a newer version of the head makes it fail.
     """
 
     __slots__ = ("claim_id",)
@@ -190,8 +195,8 @@
         """Creates the operation.
 
         Args:
-          key_digest: key of the claim.
-          claim_id: claim to release; a row of another one stays as it is.
+          key_digest: digest of the claim's key.
+          claim_id: claim to release; the row of another claim is not changed.
         """
         super().__init__(key_digest)
         self.claim_id = claim_id
@@ -199,14 +204,14 @@
     def apply(
         self,
         table: claimtable.ClaimTable,
-        present: claimrow.ClaimRow | None,
+        current: claimrow.ClaimRow | None,
     ) -> None:
         table.changed = True
-        own = present is not None and present.claim_id == self.claim_id
-        if own and self.key_digest in table.lines:
+        is_own = current is not None and current.claim_id == self.claim_id
+        if is_own and self.key_digest in table.lines:
             table.remove_row(self.key_digest)
-            present = None
-        self.found = present
+            current = None
+        self.found = current
 
     def is_certain(self) -> bool:
         return True
--- a/rhubarblock/relay/claims/route.py
+++ b/rhubarblock/relay/claims/route.py
@@ -1,8 +1,9 @@
-"""Sends the operations of a shard to the instance that coordinates it.
+"""Forwards the operations of a shard to its coordinator.
 
-Where all instances let one write a shard, the claims of all share its writes
-and nobody's write conflicts. This is for cost alone: any instance may write
-any shard at any time, and does so when its coordinator does not answer.
+When one instance writes a shard for all, the claims of all instances share its
+writes and no writes conflict. This only saves cost and is not needed for
+safety: any instance may write any shard at any time, and does so if the
+coordinator does not reply.
 """
 
 import asyncio
@@ -20,19 +21,19 @@
 MESSAGE_KIND = "claims.commit"
 DUTY_PREFIX = "claims/"
 
-# Says at which address the holder of a duty is reached; None when this
-# instance holds it, or nobody is known to.
+# Returns the address of the holder of a duty, or None if this instance holds it
+# or no holder is known.
 CoordinatorFinder = Callable[[str], str | None]
 
 
 class ShardRoute:
-    """The way of this instance's operations to one shard."""
+    """Submits operations of this instance to the coordinator of one shard."""
 
     __slots__ = (
         "_avoid_until_s",
         "_counters",
+        "_deferred",
         "_find_coordinator",
-        "_lazy",
         "_local",
         "_peers",
         "_settings",
@@ -56,12 +57,12 @@
 
         Args:
           shard: name of the shard.
-          local: writes the shard from here.
-          peers: carries calls to other instances.
-          find_coordinator: says who coordinates the shard.
+          local: writes the shard from this instance.
+          peers: transport to other instances.
+          find_coordinator: returns the address of the shard's coordinator.
           timers: clock and sleeps.
-          settings: how long to wait for a coordinator.
-          counters: counts what was forwarded.
+          settings: windows and timeouts.
+          counters: counts forwarded operations.
         """
         self._shard = shard
         self._local = local
@@ -71,21 +72,21 @@
         self._settings = settings
         self._counters = counters
         self._urgent: list[claimops.Operation] = []
-        self._lazy: list[claimops.Operation] = []
+        self._deferred: list[claimops.Operation] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._avoid_until_s = float("-inf")
 
     @property
     def failing_s(self) -> float:
-        """Seconds for which the platform has refused every try from here."""
+        """Seconds since the platform began to fail here; 0 while it works."""
         return self._local.failing_s
 
     def submit(self, operation: claimops.Operation) -> None:
-        """Queues an operation; its ``done`` is resolved later."""
+        """Queues an operation, whose ``done`` is resolved later."""
         if self._find_address() is None:
             self._local.submit(operation)
             return
-        queue = self._urgent if operation.urgent else self._lazy
+        queue = self._urgent if operation.urgent else self._deferred
         queue.append(operation)
         if len(queue) == 1:
             task = asyncio.ensure_future(self._send(queue, operation.urgent))
@@ -112,15 +113,15 @@
     async def _send(
         self, queue: list[claimops.Operation], urgent: bool
     ) -> None:
-        # What is queued in the same turn of the loop, or in the window of
-        # what nobody waits for, travels together.
+        # Urgent operations queued in the same loop iteration share a message.
+        # The others are collected for the whole window.
         window_s = 0.0 if urgent else self._settings.finish_window_s
         await self._timers.sleep(window_s)
         operations = list(queue)
         queue.clear()
         address = self._find_address()
         if address is None:
-            self._submit_here(operations)
+            self._submit_locally(operations)
             return
         timeout_s = self._settings.forward_timeout_s
         if not urgent:
@@ -145,9 +146,9 @@
             now_s = self._timers.read_monotonic()
             self._avoid_until_s = now_s + self._settings.forward_pause_s
             for operation in operations:
-                # The coordinator may have written it, or may still do so.
+                # The coordinator may have written it or may still write it.
                 operation.unsure = True
-            self._submit_here(operations)
+            self._submit_locally(operations)
             return
         rows = claimwire.decode_found(answer)
         for operation, row in zip(operations, rows, strict=True):
@@ -161,7 +162,7 @@
         if release is not None:
             self._local.submit(release)
 
-    def _submit_here(self, operations: Iterable[claimops.Operation]) -> None:
+    def _submit_locally(self, operations: Iterable[claimops.Operation]) -> None:
         for operation in operations:
             self._local.submit(operation)
 
@@ -169,18 +170,18 @@
 async def commit_batch(
     batch: claimwire.Batch, committer: claimshard.ShardCommitter
 ) -> bytes:
-    """Applies what another instance forwarded, as its coordinator.
+    """Applies a batch forwarded by another instance, as coordinator.
 
     Args:
       batch: operations of one shard.
-      committer: writes the shard from here.
+      committer: writes the shard from this instance.
 
     Returns:
-      What the operations found.
+      The encoded results of the operations.
 
     Raises:
-      TimeoutError: their sender has given up; what was not written yet is
-        dropped, and the sender writes, or releases, it by itself.
+      TimeoutError: the sender has given up. Unwritten operations are dropped;
+        the sender writes or releases them itself.
       claimshard.ShardFullError: the shard has no room for a claim.
     """
     for operation in batch.operations:
@@ -189,7 +190,7 @@
     try:
         await asyncio.wait(done, timeout=batch.left_s)
     finally:
-        # Here too when the call is cancelled because its sender went away.
+        # Also runs if the call is cancelled because the sender disconnected.
         for operation in batch.operations:
             operation.abandoned = not operation.done.done()
     if any(operation.abandoned for operation in batch.operations):
--- a/rhubarblock/relay/claims/route_test.py
+++ b/rhubarblock/relay/claims/route_test.py
@@ -1,4 +1,4 @@
-"""Tests of claims that travel to the coordinator of their shard."""
+"""Tests of claims that are forwarded to the coordinator of their shard."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Three ledgers; the first one coordinates every shard."""
+    """Three ledgers; the first one coordinates all shards."""
 
     def __init__(self):
         self.timers = timer_service.LoopTimers(0.0)
@@ -58,29 +58,27 @@
         if not isinstance(outcome, result.Success):
             return outcome.failure().code.value
         granted = outcome.unwrap()
-        if isinstance(granted, claims.KeptAnswer):
+        if isinstance(granted, claims.StoredAnswer):
             return "kept"
         await self.ledgers[number].finish_unknown(granted)
         return "granted"
 
 
-def test_coordinator_writes_for_all() -> None:
+def test_only_the_coordinator_writes() -> None:
     async def main() -> None:
         fleet = Fleet()
         assert await fleet.claim(1, "k1") == "granted"
         assert await fleet.claim(2, "k1") == "outcome_unknown"
         assert await fleet.claim(0, "k1") == "outcome_unknown"
         assert await fleet.claim(2, "k2") == "granted"
-        forwarded = [
-            ledger.counters["commit.written"] for ledger in fleet.ledgers
-        ]
-        assert forwarded[0] > 0
-        assert forwarded[1:] == [0, 0]
+        writes = [ledger.counters["commit.written"] for ledger in fleet.ledgers]
+        assert writes[0] > 0
+        assert writes[1:] == [0, 0]
 
     virtualloop.run(main())
 
 
-def test_claims_at_once_share_a_write() -> None:
+def test_concurrent_claims_share_writes() -> None:
     async def main() -> None:
         fleet = Fleet()
         assert await fleet.claim(1, "k0") == "granted"
@@ -95,7 +93,9 @@
 
 
 @pytest.mark.parametrize("fault", ["dead", "paused", "cut from the platform"])
-def test_instances_do_without_a_coordinator_that_fails(fault) -> None:
+def test_instances_write_claims_themselves_if_the_coordinator_fails(
+    fault,
+) -> None:
     async def main() -> None:
         fleet = Fleet()
         assert await fleet.claim(1, "k1") == "granted"
@@ -112,7 +112,7 @@
     virtualloop.run(main())
 
 
-def test_claim_that_a_paused_coordinator_writes_late_stays_its_owners() -> None:
+def test_claim_written_late_by_the_coordinator_is_granted_once() -> None:
     async def main() -> None:
         fleet = Fleet()
         assert await fleet.claim(1, "k1") == "granted"
@@ -126,7 +126,7 @@
     virtualloop.run(main())
 
 
-def test_operations_are_read_as_they_were_sent() -> None:
+def test_operations_survive_encoding() -> None:
     async def main() -> None:
         sent = [
             claimops.Claim(ROW),
@@ -153,6 +153,6 @@
     virtualloop.run(main())
 
 
-def test_found_rows_are_read_as_they_were_sent() -> None:
+def test_found_rows_survive_encoding() -> None:
     message = claimwire.encode_found([ROW, None])
     assert claimwire.decode_found(message) == [ROW, None]
--- a/rhubarblock/relay/claims/row.py
+++ b/rhubarblock/relay/claims/row.py
@@ -1,7 +1,7 @@
-"""One claim: the record that an idempotency key has been used.
+"""The row of a claim: the record that an idempotency key has been used.
 
-A row is what makes a call run at most once: it is written before the first
-byte of the call goes out, and nobody but the attempt that wrote it may send.
+The row is written before the first byte of the call is sent, and only the
+request that wrote it may send the call. So the call runs at most once.
 """
 
 import base64
@@ -13,17 +13,17 @@
 
 from rhubarblock.core import request as requests
 
-# Bytes of a key digest; half of a SHA-256 keeps collisions out of reach.
+# Size of a key digest. Half of a SHA-256 makes collisions negligible.
 KEY_DIGEST_BYTES = 16
 _KEY_CHARACTERS = 2 * KEY_DIGEST_BYTES
 
 
 class RowState(enum.Enum):
-    """What is known about the one run that a row allows."""
+    """State of the single run that a row allows."""
 
-    CLAIMED = "claimed"  # It may be running now.
-    DONE = "done"  # It ran; the answer is known.
-    UNKNOWN = "unknown"  # It was sent and its answer will not come.
+    CLAIMED = "claimed"  # The call may be running.
+    DONE = "done"  # The call ran; its answer is known.
+    UNKNOWN = "unknown"  # The call was sent and its answer was lost.
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -33,8 +33,8 @@
     Attributes:
       status: HTTP status.
       content_type: media type of the body.
-      body: response body, or None when it was too large to keep.
-      body_digest: hex digest of the body.
+      body: response body, or None if it was too large to store.
+      body_digest: hex SHA-256 of the whole body.
     """
 
     status: int
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClaimRow:
-    """One claim.
+    """The stored record of one claim.
 
     Attributes:
       key_digest: hex digest of institution and key.
       body_digest: digest of the call that the key is bound to.
-      claim_id: unique to the one try that may run the call.
-      attempt_id: request that made the claim, for people.
-      state: what is known about the run.
+      claim_id: unique id of the claim; only its holder may run the call.
+      attempt_id: id of the request that made the claim, for diagnosis only.
+      state: state of the run.
       claimed_wall_s: wall time of the claim, in seconds since 1970.
       until_wall_s: wall time after which no answer will be recorded.
       answer: answer of a finished run.
@@ -69,19 +69,19 @@
 
 
 def digest_key(institution: str, key: str) -> str:
-    """Returns the hex digest under which a key of an institution is kept."""
-    # The length in front keeps institution and key from running together.
+    """Returns the hex digest that identifies a key of an institution."""
+    # The length prefix separates institution and key unambiguously.
     text = f"{len(institution)}:{institution}{key}"
     digest = hashlib.sha256(text.encode()).digest()
     return digest[:KEY_DIGEST_BYTES].hex()
 
 
 def make_answer(answer: requests.ServiceAnswer, size_limit: int) -> RowAnswer:
-    """Returns an answer as a row keeps it.
+    """Returns an answer as it is stored in a row.
 
     Args:
       answer: the whole answer.
-      size_limit: largest body that is kept, in bytes.
+      size_limit: largest body that is stored, in bytes.
     """
     return RowAnswer(
         status=answer.status,
@@ -92,10 +92,10 @@
 
 
 def encode_row(row: ClaimRow) -> bytes:
-    """Returns a row as one line: its key digest, then JSON with short names.
+    """Encodes a row as one line: its key digest, then JSON with short names.
 
-    The key stands in front so that a head can be read and written without
-    parsing the rows that nobody asks for.
+    The key comes first so that a head can be read and written without parsing
+    all of its rows.
     """
     fields: dict[str, Any] = {
         "b": row.body_digest,
@@ -117,7 +117,7 @@
 
 
 def decode_row(line: bytes) -> ClaimRow:
-    """Reads what ``encode_row`` made."""
+    """Decodes the output of ``encode_row``."""
     fields = json.loads(line[_KEY_CHARACTERS:])
     answer = fields.get("r")
     return ClaimRow(
@@ -133,7 +133,7 @@
 
 
 def encode_answer(answer: RowAnswer) -> dict[str, Any]:
-    """Returns an answer as a JSON value with short names."""
+    """Encodes an answer as a JSON object with short names."""
     body = answer.body
     return {
         "s": answer.status,
@@ -144,7 +144,7 @@
 
 
 def decode_answer(fields: dict[str, Any]) -> RowAnswer:
-    """Reads what ``encode_answer`` made."""
+    """Decodes the output of ``encode_answer``."""
     body = fields["b"]
     return RowAnswer(
         status=fields["s"],
--- a/rhubarblock/relay/claims/seal.py
+++ b/rhubarblock/relay/claims/seal.py
@@ -1,15 +1,15 @@
-"""Moves old claims out of a shard's head and collects what has expired.
-
-Rows of the head become a segment, and small segments become a larger one. At
-each moment every row that still counts is in the head or in a segment that
-the head lists. Steps: the head names the segment to come; its two objects are
-created; the head lists it, in place of what went into it, in one write.
-Whoever dies in between leaves a name in the head, which the next one clears
-away.
-
-Objects are deleted only when the head lists their segment as dropped. A
-segment never comes back from there, so that acting on an older state of the
-head deletes nothing that still counts.
+"""Seals old rows of a shard into segments and deletes expired claims.
+
+Rows of the head are moved to a new segment, and small segments are merged into
+a larger one. At any time, every valid row is in the head or in a segment that
+the head lists. There are three steps: the head records the id of the new
+segment; the two objects of the segment are created; one write of the head lists
+the segment and removes what it replaces. An instance that dies in between
+leaves the id in the head, and the next one that seals drops that segment.
+
+Objects are deleted only if the head lists their segment as dropped. A dropped
+segment is never listed as valid again, so a deletion that is based on an
+outdated head removes no valid rows.
 """
 
 import asyncio
@@ -25,17 +25,19 @@
 from rhubarblock.relay.claims import table as claimtable
 from rhubarblock.store import store as stores
 
-# Seconds after which a segment that is being written counts as given up.
+# Time after which an unfinished segment is considered abandoned, in seconds.
 SEALING_TIMEOUT_S = 60.0
-# Seconds between two looks for expired claims of a shard.
-COLLECT_INTERVAL_S = 600.0
-# Segments that are made into one, and the most bytes of rows in it.
+# Seconds between two checks for expired claims of a shard.
+EXPIRY_CHECK_INTERVAL_S = 600.0
+# Number of segments that are merged into one, and the largest total size of
+# their rows in bytes.
 MERGE_COUNT = 16
 MERGE_BYTES = 600_000
-# Tries to list a segment before it is left to the next one to clear away.
-INSTALL_TRIES = 8
-# Seconds between two such tries.
-INSTALL_WAIT_S = 0.01
+# Attempts to list a segment in the head before it is left to be dropped by the
+# next seal.
+PUBLISH_ATTEMPTS = 8
+# Seconds between two such attempts.
+PUBLISH_RETRY_WAIT_S = 0.01
 
 _Kind = stores.StoreErrorKind
 
@@ -47,7 +49,7 @@
     Attributes:
       segment_id: unique name.
       rows: its rows.
-      sources: segments that it replaces; empty when its rows are the head's.
+      sources: segments that it replaces; empty if its rows are from the head.
     """
 
     segment_id: str
@@ -56,14 +58,14 @@
 
 
 class Sealer:
-    """Seals and collects the claims of one shard."""
+    """Seals the rows of one shard and deletes expired claims."""
 
     __slots__ = (
         "_counters",
         "_deleted",
         "_deleting",
         "_head",
-        "_next_collect_s",
+        "_next_expiry_check_s",
         "_rng",
         "_settings",
         "_store",
@@ -79,37 +81,38 @@
         settings: claimsettings.ClaimSettings,
         counters: "collections.Counter[str]",
     ):
-        """Creates a sealer; it acts only when asked."""
+        """Creates a sealer that does nothing until ``seal``."""
         self._store = store
         self._head = head
         self._timers = timers
         self._rng = rng
         self._settings = settings
         self._counters = counters
-        self._next_collect_s = float("-inf")
-        # Dropped segments whose objects are gone, until the head says so.
+        self._next_expiry_check_s = float("-inf")
+        # Dropped segments whose objects are deleted but that the head still
+        # lists as dropped.
         self._deleted: set[str] = set()
         self._deleting: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Stops deleting; another seal goes on with it."""
+        """Stops deleting; a later seal continues."""
         if self._deleting is not None:
             self._deleting.cancel()
 
     def is_due(self, table: claimtable.ClaimTable) -> bool:
-        """Says whether a head has something to seal or to collect."""
+        """Returns whether there is something to seal, merge or delete."""
         if self._is_being_sealed(table):
             return False
-        if self._find_rows_to_seal(table) or _find_run(table):
+        if self._find_rows_to_seal(table) or _find_mergeable(table):
             return True
         now_s = self._timers.read_monotonic()
-        if now_s < self._next_collect_s:
+        if now_s < self._next_expiry_check_s:
             return False
-        self._next_collect_s = now_s + COLLECT_INTERVAL_S
+        self._next_expiry_check_s = now_s + EXPIRY_CHECK_INTERVAL_S
         return bool(table.dropped or self._has_expired(table))
 
     async def seal(self) -> None:
-        """Seals, collects and deletes; what fails is left to the next time."""
+        """Seals, merges and deletes; a later call repeats what fails."""
         try:
             await self._seal()
         except stores.StoreError as error:
@@ -120,9 +123,9 @@
         if self._is_being_sealed(table):
             return
         self._drop_expired(table)
-        self._clear_deleted(table)
+        self._remove_deleted(table)
         rows = self._find_rows_to_seal(table)
-        sources = [] if rows else _find_run(table)
+        sources = [] if rows else _find_mergeable(table)
         segment_id = ""
         if rows or sources:
             segment_id = self._begin_segment(table)
@@ -133,7 +136,7 @@
         if rows:
             new = _NewSegment(segment_id, rows, sources)
             await self._write_segment(new)
-            await self._install(new)
+            await self._publish(new)
 
     def _begin_segment(self, table: claimtable.ClaimTable) -> str:
         segment_id = f"{self._head.shard}-{self._rng.getrandbits(64):016x}"
@@ -146,7 +149,7 @@
     async def _read_segments(
         self, sources: list[claimtable.Segment]
     ) -> list[claimrow.ClaimRow]:
-        # Where a key stands in two segments, the later one counts.
+        # If a key is in two segments, the row of the later one is valid.
         rows: dict[str, claimrow.ClaimRow] = {}
         for source in sources:
             name = claimtable.ROWS_PREFIX + source.segment_id
@@ -167,38 +170,38 @@
             expected_version=positions.NOWHERE,
         )
 
-    async def _install(self, new: _NewSegment) -> None:
-        for _ in range(INSTALL_TRIES):
+    async def _publish(self, new: _NewSegment) -> None:
+        for _ in range(PUBLISH_ATTEMPTS):
             table = await self._head.read()
             sealing = table.sealing
             if sealing is None or sealing.segment_id != new.segment_id:
-                # It is listed already, or another one has cleared it away.
+                # The segment is listed already, or another instance dropped it.
                 return
-            _list_segment(table, new)
+            _add_to_head(table, new)
             try:
                 await self._head.write(table, table.encode())
             except stores.StoreError as error:
                 if error.kind not in (_Kind.CONFLICT, _Kind.UNSURE):
                     raise
-                await self._timers.sleep(INSTALL_WAIT_S)
+                await self._timers.sleep(PUBLISH_RETRY_WAIT_S)
                 continue
             self._counters["seal.segments"] += 1
             self._counters["seal.rows"] += len(new.rows)
             return
 
-    def _clear_deleted(self, table: claimtable.ClaimTable) -> None:
-        """Takes out of a head what is deleted and starts deleting the rest.
+    def _remove_deleted(self, table: claimtable.ClaimTable) -> None:
+        """Removes deleted segments from the head; starts deleting the others.
 
-        Deleting takes long enough to keep claims waiting, so it goes on beside
-        them.
+        Deletion runs in the background, because claims would have to wait for
+        it.
         """
-        left = [i for i in table.dropped if i not in self._deleted]
-        if len(left) < len(table.dropped):
-            table.dropped = left
+        remaining = [i for i in table.dropped if i not in self._deleted]
+        if len(remaining) < len(table.dropped):
+            table.dropped = remaining
             table.changed = True
-        self._deleted.intersection_update(left)
-        if left and self._deleting is None:
-            self._deleting = asyncio.ensure_future(self._delete_all(left))
+        self._deleted.intersection_update(remaining)
+        if remaining and self._deleting is None:
+            self._deleting = asyncio.ensure_future(self._delete_all(remaining))
 
     async def _delete_all(self, segment_ids: list[str]) -> None:
         try:
@@ -231,7 +234,8 @@
     ) -> list[claimrow.ClaimRow]:
         if not table.is_full(self._settings.seal_bytes):
             return []
-        # A claim whose call may still end stays where its answer is recorded.
+        # A claim whose call may still end stays in the head, where its outcome
+        # can be recorded.
         ended_s = self._read_wall() - self._settings.clock_error_s
         return [
             row
@@ -241,12 +245,15 @@
         ]
 
     def _find_expiry(self) -> float:
-        """Returns the wall time up to which claims have expired.
+        """Returns the wall time before which claims have expired.
 
-        The clock that wrote a claim may be behind and the one read here ahead.
+        The clock error counts twice: the clock of the instance that wrote the
+        claim may be slow and the clock of this instance fast.
         """
-        kept_s = self._settings.retention_s + 2 * self._settings.clock_error_s
-        return self._read_wall() - kept_s
+        max_age_s = (
+            self._settings.retention_s + 2 * self._settings.clock_error_s
+        )
+        return self._read_wall() - max_age_s
 
     def _has_expired(self, table: claimtable.ClaimTable) -> bool:
         expiry_s = self._find_expiry()
@@ -270,12 +277,12 @@
         return self._timers.read_wall()
 
 
-def _find_run(table: claimtable.ClaimTable) -> list[claimtable.Segment]:
-    return table.find_small_run(MERGE_COUNT, MERGE_BYTES)
+def _find_mergeable(table: claimtable.ClaimTable) -> list[claimtable.Segment]:
+    return table.find_mergeable(MERGE_COUNT, MERGE_BYTES)
 
 
-def _list_segment(table: claimtable.ClaimTable, new: _NewSegment) -> None:
-    """Lists a written segment in the head in place of what went into it."""
+def _add_to_head(table: claimtable.ClaimTable, new: _NewSegment) -> None:
+    """Lists a written segment in the head and removes what it replaces."""
     segment = claimtable.Segment(
         segment_id=new.segment_id,
         newest_wall_s=max(row.claimed_wall_s for row in new.rows),
@@ -284,13 +291,14 @@
     table.sealing = None
     table.changed = True
     if new.sources:
-        if not table.replace_run(new.sources, segment):
-            # A part of it has expired meanwhile; the rest is merged later.
+        if not table.replace_segments(new.sources, segment):
+            # Some of the sources have expired in the meantime. The others are
+            # merged later.
             table.dropped.append(new.segment_id)
         return
     for row in new.rows:
-        # A row that changed since stays in the head, where it is found before
-        # the one in the segment.
+        # A row that has changed since stays in the head, where lookups find it
+        # before the one in the segment.
         if table.find_row(row.key_digest) == row:
             table.remove_row(row.key_digest)
     table.segments.append(segment)
--- a/rhubarblock/relay/claims/settings.py
+++ b/rhubarblock/relay/claims/settings.py
@@ -7,31 +7,32 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClaimSettings:
-    """How claims are written, kept and collected.
+    """How claims are written, stored and deleted.
 
     Attributes:
-      shards: number of head objects; in force is what the platform holds since
-        the first start, so that all instances agree.
-      batch_window_s: seconds for which a claim waits for others to share its
-        write.
-      finish_window_s: seconds for which an answer waits to be recorded along
-        with a claim.
+      shards: number of head objects. It only applies to the first start; later
+        all instances use the number that the platform holds.
+      batch_window_s: seconds that a claim waits for others to share its write.
+      finish_window_s: seconds that an outcome waits to share the write of a
+        claim.
       forward_timeout_s: seconds that a shard's coordinator has to write a claim
         before the instance writes it itself.
-      forward_pause_s: seconds for which a coordinator that failed is passed by.
-      writes_per_s: most writes a second for claims, spread evenly over the
-        shards; an instance keeps to it for each shard that it writes.
-      claim_timeout_s: seconds after which a call is refused when the platform
+      forward_pause_s: seconds for which a coordinator that failed is bypassed.
+      writes_per_s: most writes of claims per second, divided evenly among the
+        shards; each instance applies the limit per shard that it writes.
+      claim_timeout_s: seconds after which a call is refused if the platform
         does not confirm its claim.
-      poll_s: first wait between two looks at the claim of another caller.
-      poll_max_s: longest such wait.
-      answer_limit: largest answer body that is kept, in bytes.
-      retention_s: seconds for which a key is remembered, at least.
-      clock_error_s: most by which two machines' wall clocks differ.
-      seal_bytes: size of a head from which on its rows are sealed.
-      head_limit: size of a head above which claims are refused.
-      drain_s: most seconds that stopping waits for answers to be recorded.
-      backoff: waits between tries of a call to the platform.
+      poll_s: first wait between two lookups of another request's claim, in
+        seconds.
+      poll_max_s: longest such wait in seconds.
+      answer_limit: largest answer body that is stored, in bytes.
+      retention_s: shortest time for which a key is remembered, in seconds.
+      clock_error_s: largest difference between two machines' wall clocks, in
+        seconds.
+      seal_bytes: size of a head's rows from which on they are sealed, in bytes.
+      head_limit: size of a head above which claims are refused, in bytes.
+      drain_s: longest wait for outcomes to be recorded on shutdown, in seconds.
+      backoff: waits between attempts after failures of the platform.
     """
 
     shards: int = 4
--- a/rhubarblock/relay/claims/shard.py
+++ b/rhubarblock/relay/claims/shard.py
@@ -1,10 +1,10 @@
-"""Group commit of the claims of one shard.
+"""Group commit of operations on one shard.
 
-Operations that arrive while a write is on its way, or within a few
-milliseconds, share the next write. A write that fails, or whose answer is
-lost, is followed by a new read: what took effect is then seen in the head, and
-what did not is applied again. An operation is resolved only by a head that
-was written, or read, with its effect in it.
+Operations that arrive during a write, or within a few milliseconds of each
+other, share the next write. After a write that failed or whose reply was lost,
+the head is read again and all operations are applied to it; those that already
+took effect change nothing. An operation is resolved only when a head that
+contains its effect has been read or written.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 from rhubarblock.store import backoff as backoffs
 from rhubarblock.store import store as stores
 
-# Another instance wrote the head in between: the next try can follow soon.
+# After a conflict with another writer, the next attempt may follow soon.
 CONFLICT_BACKOFF = backoffs.BackoffSettings(first_s=0.004, max_s=0.1)
 
 _Kind = stores.StoreErrorKind
 
-# Commits in a row without another writer after which a shard's head is not
-# read again before each write.
-ALONE_WRITES = 2
+# Consecutive commits without another writer after which the head is no longer
+# read before each write.
+SOLE_WRITER_COMMITS = 2
 
 
 class ShardFullError(Exception):
@@ -39,17 +39,17 @@
     """Applies the operations of this instance to one shard."""
 
     __slots__ = (
-        "_alone_writes",
         "_backoff",
+        "_cached_head",
         "_conflict_backoff",
         "_counters",
         "_failing_since_s",
         "_head",
         "_index",
-        "_known_head",
         "_pending",
         "_sealer",
         "_settings",
+        "_sole_writer_commits",
         "_task",
         "_timers",
         "_urgent",
@@ -74,8 +74,8 @@
         self._counters = counters
         self._backoff = backoffs.Backoff(rng, settings.backoff)
         self._conflict_backoff = backoffs.Backoff(rng, CONFLICT_BACKOFF)
-        self._known_head: claimtable.ClaimTable | None = None
-        self._alone_writes = 0
+        self._cached_head: claimtable.ClaimTable | None = None
+        self._sole_writer_commits = 0
         self._pending: list[claimops.Operation] = []
         self._urgent = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
@@ -83,13 +83,13 @@
 
     @property
     def failing_s(self) -> float:
-        """Seconds for which the platform has refused every try; 0 if none."""
+        """Seconds since the platform began to fail; 0 while it works."""
         if self._failing_since_s is None:
             return 0.0
         return self._timers.read_monotonic() - self._failing_since_s
 
     def submit(self, operation: claimops.Operation) -> None:
-        """Queues an operation; its ``done`` is resolved later."""
+        """Queues an operation, whose ``done`` is resolved later."""
         self._pending.append(operation)
         if operation.urgent:
             self._urgent.set()
@@ -102,7 +102,7 @@
             await asyncio.wait([self._task])
 
     def close(self) -> None:
-        """Stops at once; what was not written yet stays unwritten."""
+        """Stops at once; queued operations are not written."""
         self._sealer.close()
         if self._task is not None:
             self._task.cancel()
@@ -110,12 +110,12 @@
     async def _run(self) -> None:
         try:
             while self._pending:
-                await self._collect()
+                await self._wait_for_batch()
                 await self._try_commit()
         finally:
             self._task = None
 
-    async def _collect(self) -> None:
+    async def _wait_for_batch(self) -> None:
         if not self._urgent.is_set():
             try:
                 async with asyncio.timeout(self._settings.finish_window_s):
@@ -151,8 +151,8 @@
         table = await self._prepare(batch)
         if table.changed:
             value = table.encode()
-            is_over = len(value) > self._settings.head_limit
-            if is_over and self._refuse_claims(batch):
+            exceeds_limit = len(value) > self._settings.head_limit
+            if exceeds_limit and self._reject_claims(batch):
                 await self._seal()
                 return
             await self._write(table, value, batch)
@@ -166,25 +166,29 @@
     ) -> claimtable.ClaimTable:
         """Returns the head with a batch applied to it, not yet written.
 
-        An instance that has been the only one to write a shard for a while
-        goes on from what it wrote, as long as nothing depends on what another
-        may have written since. A head that is outdated cannot be written.
+        An instance that has been the only writer of a shard for a while starts
+        from the head that it wrote, unless a result depends on what another
+        instance may have written since. If the cached head is outdated, its
+        conditional write fails.
         """
-        known = self._known_head
-        self._known_head = None
-        if known is not None and self._alone_writes >= ALONE_WRITES:
-            table = known.copy()
+        cached = self._cached_head
+        self._cached_head = None
+        if (
+            cached is not None
+            and self._sole_writer_commits >= SOLE_WRITER_COMMITS
+        ):
+            table = cached.copy()
             await self._apply(batch, table)
             if all(operation.is_certain() for operation in batch):
                 return table
         table = await self._head.read()
-        if known is None or known.version != table.version:
-            self._alone_writes = 0
+        if cached is None or cached.version != table.version:
+            self._sole_writer_commits = 0
         await self._apply(batch, table)
         return table
 
     async def _seal(self) -> None:
-        self._known_head = None
+        self._cached_head = None
         await self._sealer.seal()
 
     async def _apply(
@@ -195,10 +199,10 @@
         await self._index.load(table.segments)
         for operation in batch:
             key_digest = operation.key_digest
-            present = table.find_row(key_digest)
-            if present is None:
-                present = await self._index.find(table.segments, key_digest)
-            operation.apply(table, present)
+            current = table.find_row(key_digest)
+            if current is None:
+                current = await self._index.find(table.segments, key_digest)
+            operation.apply(table, current)
 
     async def _write(
         self,
@@ -213,12 +217,12 @@
                 for operation in batch:
                     operation.unsure = True
             raise
-        self._alone_writes += 1
+        self._sole_writer_commits += 1
         self._counters["commit.written"] += 1
         self._counters["commit.operations"] += len(batch)
 
     def _note_success(self, table: claimtable.ClaimTable) -> None:
-        self._known_head = table
+        self._cached_head = table
         self._failing_since_s = None
         self._backoff.reset()
         self._conflict_backoff.reset()
@@ -243,14 +247,14 @@
         if release is not None:
             self._pending.append(release)
 
-    def _refuse_claims(self, batch: list[claimops.Operation]) -> bool:
-        """Fails the claims of a batch; says whether there were any."""
+    def _reject_claims(self, batch: list[claimops.Operation]) -> bool:
+        """Fails the claims of a batch; returns whether there were any."""
         claims = [o for o in batch if isinstance(o, claimops.Claim)]
         self._pending = [o for o in self._pending if o not in claims]
         for claim in claims:
             if not claim.done.done():
                 claim.done.set_exception(ShardFullError())
-            # An earlier write of it may still be on its way.
+            # An earlier write of the claim may still take effect.
             if claim.unsure:
                 self._submit_release(claim)
         self._counters["commit.full"] += len(claims)
--- a/rhubarblock/relay/claims/table.py
+++ b/rhubarblock/relay/claims/table.py
@@ -1,12 +1,12 @@
-"""The claims of one shard: a small head object and sealed segments.
+"""The stored claims of one shard: a small head object and sealed segments.
 
-The head holds the recent rows and names the segments. A segment never
-changes: its rows are one object and the sorted digests of their keys another,
-so that an instance reads the digests once and knows from then on which keys
-the segment does not have.
+The head holds the recent rows and lists the segments. A segment is immutable
+and consists of two objects, its rows and the sorted digests of their keys. An
+instance reads the digests once and can then tell which keys are not in the
+segment.
 
-Every change goes through a conditional write of the head. That is why a
-writer that saw the head at its present version has seen every claim.
+Every change is a conditional write of the head. A writer that has read the
+current version of the head has therefore seen all claims.
 """
 
 import dataclasses
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Segment:
-    """A sealed set of rows.
+    """An immutable set of rows.
 
     Attributes:
       segment_id: unique name.
-      newest_wall_s: wall time of its newest claim.
-      size: size of its object of rows in bytes.
+      newest_wall_s: wall time of its newest claim, in seconds since 1970.
+      size: size of its rows object in bytes.
     """
 
     segment_id: str
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Sealing:
-    """A segment that an instance is about to write.
+    """A segment that is being written.
 
     Attributes:
       segment_id: unique name.
-      started_wall_s: wall time of the start.
+      started_wall_s: wall time of its start, in seconds since 1970.
     """
 
     segment_id: str
@@ -51,15 +51,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimTable:
-    """The head of a shard, as read and then changed before it is written.
+    """The head of a shard, with changes that are not written yet.
 
     Attributes:
-      version: version of the head as read; NOWHERE when there is none yet.
-      lines: recent rows by key digest, each as it is encoded.
+      version: version of the head as read; NOWHERE if there is none yet.
+      lines: recent rows in encoded form, by key digest.
       segments: sealed segments, oldest first.
       sealing: segment that is being written, or None.
-      dropped: ids of segments whose objects are still to be deleted.
-      changed: whether there is something to write.
+      dropped: ids of segments whose objects must still be deleted.
+      changed: whether there are unwritten changes.
     """
 
     version: positions.Position = positions.NOWHERE
@@ -89,7 +89,7 @@
         self.changed = True
 
     def copy(self) -> "ClaimTable":
-        """Returns a copy that can be changed on its own."""
+        """Returns an independent copy with ``changed`` unset."""
         return ClaimTable(
             version=self.version,
             lines=dict(self.lines),
@@ -103,34 +103,38 @@
         return b"\n".join([self._encode_header(), *self.lines.values()])
 
     def is_full(self, seal_bytes: int) -> bool:
-        """Says whether the rows are as large as they should become."""
+        """Returns whether the rows have reached the size for sealing."""
         return sum(map(len, self.lines.values())) >= seal_bytes
 
-    def find_small_run(self, count: int, size: int) -> list[Segment]:
-        """Returns segments that follow each other and can become one.
+    def find_mergeable(self, count: int, size: int) -> list[Segment]:
+        """Returns consecutive segments that can be merged into one.
 
         Args:
           count: number of segments.
-          size: most bytes that their rows have together.
+          size: largest total size of their rows, in bytes.
 
         Returns:
-          The oldest such run, or an empty list.
+          The oldest such segments, or an empty list.
         """
         for start in range(len(self.segments) - count + 1):
-            run = self.segments[start : start + count]
-            if sum(segment.size for segment in run) <= size:
-                return run
+            sources = self.segments[start : start + count]
+            if sum(segment.size for segment in sources) <= size:
+                return sources
         return []
 
-    def replace_run(self, run: list[Segment], merged: Segment) -> bool:
-        """Puts one segment in the place of a run; says whether it was there."""
-        if not run or run[0] not in self.segments:
+    def replace_segments(self, sources: list[Segment], merged: Segment) -> bool:
+        """Replaces consecutive segments by one that merges them.
+
+        Returns:
+          Whether all of them were still listed; otherwise nothing changes.
+        """
+        if not sources or sources[0] not in self.segments:
             return False
-        start = self.segments.index(run[0])
-        if self.segments[start : start + len(run)] != run:
+        start = self.segments.index(sources[0])
+        if self.segments[start : start + len(sources)] != sources:
             return False
-        self.segments[start : start + len(run)] = [merged]
-        self.dropped.extend(segment.segment_id for segment in run)
+        self.segments[start : start + len(sources)] = [merged]
+        self.dropped.extend(segment.segment_id for segment in sources)
         self.changed = True
         return True
 
@@ -145,7 +149,7 @@
 
 
 def decode_table(value: bytes, version: positions.Position) -> ClaimTable:
-    """Reads a head object."""
+    """Decodes a head object."""
     header, *lines = value.split(b"\n")
     fields = json.loads(header)
     sealing = fields["sealing"]
@@ -159,22 +163,22 @@
 
 
 def encode_rows(rows: list[claimrow.ClaimRow]) -> bytes:
-    """Returns the content of a segment's object of rows."""
+    """Encodes the rows object of a segment."""
     return b"\n".join(claimrow.encode_row(row) for row in rows)
 
 
 def decode_rows(value: bytes) -> list[claimrow.ClaimRow]:
-    """Reads what ``encode_rows`` made."""
+    """Decodes the output of ``encode_rows``."""
     return [claimrow.decode_row(line) for line in value.split(b"\n")]
 
 
 def encode_keys(rows: list[claimrow.ClaimRow]) -> bytes:
-    """Returns the content of a segment's object of sorted key digests."""
+    """Encodes the keys object of a segment, the sorted key digests."""
     return b"".join(sorted(bytes.fromhex(row.key_digest) for row in rows))
 
 
 def has_key(keys: bytes, key_digest: str) -> bool:
-    """Says whether a segment's sorted key digests hold one of them."""
+    """Returns whether a segment's sorted key digests contain a digest."""
     wanted = bytes.fromhex(key_digest)
     size = claimrow.KEY_DIGEST_BYTES
     low, high = 0, len(keys) // size
--- a/rhubarblock/relay/claims/wire.py
+++ b/rhubarblock/relay/claims/wire.py
@@ -1,4 +1,4 @@
-"""Operations on claims as they travel to the coordinator of their shard."""
+"""Encodes operations for the coordinator of their shard, and its replies."""
 
 import dataclasses
 import json
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Batch:
-    """Operations of one shard.
+    """Operations on one shard.
 
     Attributes:
-      operations: what to apply.
-      left_s: seconds until their sender gives up on the answer.
+      operations: operations to apply.
+      left_s: seconds until the sender gives up.
     """
 
     operations: list[claimops.Operation]
@@ -27,21 +27,21 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Returns a batch as a message."""
+    """Encodes a batch."""
     operations = [_encode_operation(o) for o in batch.operations]
     fields = {"operations": operations, "left_s": batch.left_s}
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def decode_batch(message: bytes) -> Batch:
-    """Reads what ``encode_batch`` made, on the side of the coordinator."""
+    """Decodes the output of ``encode_batch`` at the coordinator."""
     fields = json.loads(message)
     operations = [_decode_operation(o) for o in fields["operations"]]
     return Batch(operations, fields["left_s"])
 
 
 def encode_found(rows: list[claimrow.ClaimRow | None]) -> bytes:
-    """Returns what the operations of a batch found, as a message."""
+    """Encodes the rows that the operations of a batch found."""
     lines = [
         claimrow.encode_row(row).decode() if row is not None else None
         for row in rows
@@ -50,7 +50,7 @@
 
 
 def decode_found(message: bytes) -> list[claimrow.ClaimRow | None]:
-    """Reads what ``encode_found`` made."""
+    """Decodes the output of ``encode_found``."""
     return [
         claimrow.decode_row(line.encode()) if line is not None else None
         for line in json.loads(message)
@@ -78,7 +78,7 @@
             "key": operation.key_digest,
             "claim": operation.claim_id,
         }
-    raise TypeError(f"no encoding of {type(operation).__name__}")
+    raise TypeError(f"cannot encode {type(operation).__name__}")
 
 
 def _decode_operation(fields: dict[str, Any]) -> claimops.Operation:
@@ -91,7 +91,7 @@
     if kind == RELEASE:
         return claimops.Release(fields["key"], fields["claim"])
     if kind != FINISH:
-        raise ValueError(f"no operation {kind}")
+        raise ValueError(f"unknown operation kind {kind}")
     answer = fields["answer"]
     return claimops.Finish(
         fields["key"],
--- a/rhubarblock/relay/cleanup.py
+++ b/rhubarblock/relay/cleanup.py
@@ -1,8 +1,9 @@
-"""Cancels what attempts may have left at engines.
+"""Cancels attempts that may still hold resources at engines.
 
-A cancellation runs beside the request, so that a caller never waits for it,
-and is tried again for a while. What still remains (this instance dies, the
-engine can't be reached) the coordinator of the endpoint finds.
+A cancellation runs in the background, so that no caller waits for it, and is
+retried a few times. If it never succeeds because this instance dies or the
+engine is unreachable, the attempt is found in the load reports of its engine
+(see fleet/orphans.py).
 """
 
 import asyncio
@@ -12,12 +13,12 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 
-TRIES = 8
-FIRST_DELAY_S = 0.25
+MAX_ATTEMPTS = 8
+INITIAL_DELAY_S = 0.25
 
 
 class Cleanup:
-    """Cancellations that are under way."""
+    """Runs cancellations in the background."""
 
     __slots__ = ("_client", "_metrics", "_tasks", "_timers")
 
@@ -33,19 +34,19 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def cancel_later(self, address: str, attempt_id: str) -> None:
-        """Cancels an attempt at an engine without waiting for it."""
+        """Starts cancelling an attempt at an engine and returns at once."""
         task = asyncio.ensure_future(self._cancel(address, attempt_id))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self) -> None:
-        """Waits until nothing is under way, for a planned stop."""
+        """Waits for all cancellations to end, before a planned stop."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     async def _cancel(self, address: str, attempt_id: str) -> None:
-        delay_s = FIRST_DELAY_S
-        for _ in range(TRIES):
+        delay_s = INITIAL_DELAY_S
+        for _ in range(MAX_ATTEMPTS):
             try:
                 await self._client.cancel(address, attempt_id)
                 return
--- a/rhubarblock/relay/completion.py
+++ b/rhubarblock/relay/completion.py
@@ -1,18 +1,18 @@
-"""What a relay passed on of a whole answer."""
+"""The summary of an answer that was delivered to its end."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Completion:
-    """A whole answer, as it was passed on.
+    """Summary of an answer that was delivered to its end.
 
     Attributes:
       prompt_tokens: length of the prompt in tokens.
-      completion_tokens: tokens of the answer.
-      cached_tokens: prompt tokens that an engine had in its cache.
+      completion_tokens: length of the answer in tokens.
+      cached_tokens: prompt tokens that an engine had in its prefix cache.
       finish_reason: ``stop`` or ``length``.
-      attempts: number of jobs that it took.
+      attempts: number of jobs that were run for it.
       first_token_s: monotonic time of the first token.
     """
 
--- a/rhubarblock/relay/completionsapi.py
+++ b/rhubarblock/relay/completionsapi.py
@@ -1,8 +1,8 @@
-"""The callers' HTTP: ``POST /v1/completions`` and the list of models.
+"""The callers' HTTP API: ``POST /v1/completions`` and ``GET /v1/models``.
 
 One handler task serves one call from its body to its last byte. aiohttp
-cancels it when the caller goes away, and the contexts of the relay then free
-what the request holds.
+cancels it when the caller disconnects, and the context managers of the relay
+then release what the request holds.
 """
 
 import json
@@ -25,13 +25,22 @@
 
 
 class StreamSink(sinks.Sink):
-    """Writes pieces to a caller as server-sent events.
+    """Writes chunks to a caller as server-sent events.
 
-    The response starts with the first piece, so a failure before it still
-    gets its proper status.
+    The response starts with the first chunk, so that a failure before it still
+    gets its own HTTP status.
+
+    Attributes:
+      response: the response, or None before its start.
     """
 
-    __slots__ = ("_created", "_http", "_piece_start", "_request", "response")
+    __slots__ = (
+        "_created",
+        "_event_start",
+        "_http",
+        "_request",
+        "response",
+    )
 
     def __init__(
         self, http: web.Request, request: requests.PromptRequest, created: int
@@ -39,25 +48,27 @@
         self._http = http
         self._request = request
         self._created = created
-        self._piece_start = events.make_piece_start(
+        self._event_start = events.make_chunk_event_start(
             request.request_id, created, request.model
         )
         self.response: web.StreamResponse | None = None
 
     async def write(self, chunk: attempts.Chunk) -> None:
         if chunk.raw and not chunk.end:
-            # The text is valid JSON already and needs no encoding.
-            await self.send(self._piece_start + chunk.raw + events.PIECE_END)
+            # The text is already JSON-encoded.
+            await self.send(
+                self._event_start + chunk.raw + events.CHUNK_EVENT_END
+            )
             return
         fields = events.describe_chunk(
             self._request.request_id, self._created, self._request.model, chunk
         )
-        # The end is told once, after the relay has checked the whole answer.
+        # `finish` sends the reason, once the relay has checked the answer.
         fields["choices"][0]["finish_reason"] = None
         await self.send(events.format_event(fields))
 
     async def send(self, data: bytes) -> None:
-        """Writes bytes; waits while the caller reads slowly."""
+        """Writes bytes; blocks while the caller reads slowly."""
         if self.response is None:
             self.response = await self._start()
         await self.response.write(data)
@@ -65,7 +76,7 @@
     async def finish(
         self, completion: completions.Completion, include_usage: bool
     ) -> web.StreamResponse:
-        """Writes the end of a whole answer."""
+        """Ends the response of a whole answer, with its usage if asked for."""
         end = attempts.Chunk("", 0, 0, "", True, completion.finish_reason)
         request = self._request
         fields = events.describe_chunk(
@@ -82,7 +93,7 @@
         return self.response
 
     async def fail(self, failure: failures.Failure) -> web.StreamResponse:
-        """Ends an answer that is not whole, with an error and without DONE."""
+        """Ends an incomplete answer with an error event and without DONE."""
         if self.response is None:
             return apierrors.answer(failure)
         fields = apierrors.describe(failure)
@@ -103,7 +114,7 @@
 
 
 class CompletionsApi:
-    """Handlers of the completions API of one instance."""
+    """Handlers of the completions API."""
 
     __slots__ = ("_context", "_relay")
 
@@ -116,37 +127,37 @@
 
         Args:
           relay: serves prompts.
-          context: what every path reads of a call.
+          context: authentication, catalogue, clock and ids.
         """
         self._relay = relay
         self._context = context
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the paths to an application."""
+        """Adds the routes to an application."""
         app.router.add_post("/v1/completions", self.complete)
         app.router.add_get("/v1/models", self.list_models)
 
     async def complete(self, http: web.Request) -> web.StreamResponse:
-        """Answers one completions call."""
+        """Handles one completions call."""
         try:
             credential = self._context.find_caller(http)
             call = prompts.parse_call(await http.read())
-            deadline_s = self._context.read_deadline(http)
+            timeout_s = self._context.read_timeout(http)
             request = prompts.make_request(
                 call,
                 self._context.make_id(),
                 credential,
                 self._context.catalogue(),
                 self._context.timers.read_monotonic(),
-                deadline_s,
+                timeout_s,
             )
         except failures.FailureError as error:
             return apierrors.answer(error.failure)
         if call.stream:
-            return await self._stream(http, request, call.include_usage)
-        return await self._answer_whole(request)
+            return await self._serve_stream(http, request, call.include_usage)
+        return await self._serve_whole(request)
 
-    async def _stream(
+    async def _serve_stream(
         self,
         http: web.Request,
         request: requests.PromptRequest,
@@ -159,14 +170,14 @@
             return await sink.finish(outcome.unwrap(), include_usage)
         return await sink.fail(outcome.failure())
 
-    async def _answer_whole(
+    async def _serve_whole(
         self, request: requests.PromptRequest
     ) -> web.StreamResponse:
         sink = sinks.MemorySink()
         outcome = await self._relay.complete(request, sink)
         if isinstance(outcome, result.Failure):
             return apierrors.answer(outcome.failure())
-        fields = events.describe_whole(
+        fields = events.describe_completion(
             request.request_id,
             int(self._context.timers.read_wall()),
             request.model,
--- a/rhubarblock/relay/completionsapi_test.py
+++ b/rhubarblock/relay/completionsapi_test.py
@@ -1,4 +1,4 @@
-"""The completions API over sockets: client library, curl, slow readers."""
+"""Tests of the completions API over sockets."""
 
 import asyncio
 import contextlib
@@ -26,13 +26,13 @@
 
 
 def expect_text() -> str:
-    """Returns what the stand-in engine answers to the body."""
+    """Returns the answer of the stand-in engine to `_BODY`."""
     call = prompts.parse_call(json.dumps(_BODY).encode())
     return enginetokens.expected_text(prompts.digest_prompt(call), 0, 30)
 
 
 def run_client(use):
-    """Runs the published client library against a fleet."""
+    """Runs the OpenAI client library against a fleet."""
 
     async def main():
         async with (
@@ -69,16 +69,16 @@
         )
         return [event async for event in stream]
 
-    *pieces, last = run_client(use)
-    text = "".join(piece.choices[0].text for piece in pieces)
+    *chunks, last = run_client(use)
+    text = "".join(chunk.choices[0].text for chunk in chunks)
     assert text == expect_text()
-    reasons = [piece.choices[0].finish_reason for piece in pieces]
-    assert reasons == [None] * (len(pieces) - 1) + ["length"]
+    reasons = [chunk.choices[0].finish_reason for chunk in chunks]
+    assert reasons == [None] * (len(chunks) - 1) + ["length"]
     assert last.choices == []
     assert last.usage.total_tokens == 36
 
 
-def test_client_library_understands_refusals():
+def test_client_library_maps_refusals_to_its_errors():
     async def use(client):
         models = [model.id async for model in client.models.list()]
         with pytest.raises(openai.NotFoundError) as unknown:
@@ -128,25 +128,25 @@
 
 
 class CountingRelay:
-    """Writes answers as fast as their callers take them."""
+    """Writes answers as fast as their callers read them."""
 
-    def __init__(self, pieces: int):
-        self._pieces = pieces
+    def __init__(self, chunks: int):
+        self._chunks = chunks
         self.taken = 0
 
     async def complete(self, request, sink):
-        pieces = self._pieces if request.max_tokens > 1 else 1
-        for index in range(pieces):
+        chunks = self._chunks if request.max_tokens > 1 else 1
+        for index in range(chunks):
             await sink.write(attempts.Chunk("", index, 1, "x" * 1_000))
             self.taken += 1
         return result.Success(
-            completions.Completion(1, pieces, 0, "length", 1, 0.0)
+            completions.Completion(1, chunks, 0, "length", 1, 0.0)
         )
 
 
 @contextlib.asynccontextmanager
 async def serve_relay(relay):
-    """Serves the API before a relay of the test."""
+    """Serves the API with a relay of the test."""
     context = callcontext.CallContext(
         loopback.make_catalogue, timer_service.LoopTimers(), lambda: "r", 60.0
     )
@@ -159,9 +159,9 @@
         yield address
 
 
-def test_slow_reader_is_bounded_and_slows_no_one_else():
-    pieces = 15_000
-    relay = CountingRelay(pieces)
+def test_slow_reader_has_bounded_buffers_and_delays_no_other_caller():
+    chunks = 15_000
+    relay = CountingRelay(chunks)
 
     async def main() -> tuple[int, bytes]:
         async with serve_relay(relay) as address:
@@ -182,7 +182,8 @@
             return held, await slow.read(-1)
 
     held, received = asyncio.run(main())
-    # 15 MB were to come; what is held is the buffers of the kernel and 64 KB.
+    # The answer has 15 MB. The reader's backpressure must stop it once the
+    # socket buffers of the kernel and the response buffer are full.
     assert 0 < held < 10_000
-    assert received.count(b"x" * 1_000) == pieces
+    assert received.count(b"x" * 1_000) == chunks
     assert received.endswith(b"data: [DONE]\n\n\r\n0\r\n\r\n")
--- a/rhubarblock/relay/crashes.py
+++ b/rhubarblock/relay/crashes.py
@@ -1,9 +1,9 @@
-"""Finds out whether a failed attempt means that its engine died.
+"""Detects whether an attempt failed because its engine crashed.
 
-A stream may break for many reasons, and only the end of the engine speaks
-against the requests that it had in flight. So the engine is asked: one that
-refuses the connection, or that was started anew, has died. However many
-attempts fail with it, it is asked once.
+A stream may break for many reasons, and only a crash makes the requests in
+flight suspects. The engine is therefore probed: it has crashed if it refuses
+the connection or has restarted. Attempts that fail at the same time share one
+probe.
 """
 
 import asyncio
@@ -13,17 +13,18 @@
 from rhubarblock.fleet import engineclient
 from rhubarblock.routing.quarantine import gate as quarantines
 
-# Seconds to wait for an engine's word; one that only stands still is no crash.
-ASK_TIMEOUT_S = 0.5
+# Seconds to wait for an engine's reply. A timeout is no crash: the engine may
+# only be paused.
+PROBE_TIMEOUT_S = 0.5
 
 
 class EngineCrashDetector:
-    """Lays the deaths of engines to the requests in flight."""
+    """Probes engines after failures and records their crashes."""
 
     __slots__ = (
-        "_asking",
         "_client",
-        "_find_start",
+        "_find_start_id",
+        "_probes",
         "_quarantine",
     )
 
@@ -31,44 +32,45 @@
         self,
         client: engineclient.EngineClient,
         quarantine: quarantines.Quarantine,
-        find_start: Callable[[str], str],
+        find_start_id: Callable[[str], str],
     ):
-        """Creates an observer.
+        """Creates a detector.
 
         Args:
-          client: way to the engines.
-          quarantine: takes the crashes.
-          find_start: gives the start id that an engine last reported.
+          client: client of the engines.
+          quarantine: records the crashes.
+          find_start_id: returns the start id that an engine last reported, or
+            an empty string.
         """
         self._client = client
         self._quarantine = quarantine
-        self._find_start = find_start
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._find_start_id = find_start_id
+        self._probes: dict[str, asyncio.Task[None]] = {}
 
-    async def examine(self, endpoint_id: str, address: str) -> None:
-        """Asks an engine at which an attempt failed, and notes its death.
+    async def check_endpoint(self, endpoint_id: str, address: str) -> None:
+        """Probes an engine at which an attempt failed; records a crash.
 
         Args:
           endpoint_id: the engine.
-          address: where it is asked.
+          address: address of the engine.
         """
-        task = self._asking.get(endpoint_id)
+        task = self._probes.get(endpoint_id)
         if task is None:
-            task = asyncio.ensure_future(self._ask(endpoint_id, address))
-            self._asking[endpoint_id] = task
+            task = asyncio.ensure_future(self._probe(endpoint_id, address))
+            self._probes[endpoint_id] = task
             task.add_done_callback(
-                lambda _: self._asking.pop(endpoint_id, None)
+                lambda _: self._probes.pop(endpoint_id, None)
             )
         await asyncio.shield(task)
 
-    async def _ask(self, endpoint_id: str, address: str) -> None:
-        if await self._has_died(endpoint_id, address):
+    async def _probe(self, endpoint_id: str, address: str) -> None:
+        if await self._has_crashed(endpoint_id, address):
             await self._quarantine.record_crash(endpoint_id)
 
-    async def _has_died(self, endpoint_id: str, address: str) -> bool:
-        known = self._find_start(endpoint_id)
+    async def _has_crashed(self, endpoint_id: str, address: str) -> bool:
+        known = self._find_start_id(endpoint_id)
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 report = await self._client.fetch_load(address)
         except failures.FailureError:
             return True
--- a/rhubarblock/relay/cursor_test.py
+++ b/rhubarblock/relay/cursor_test.py
@@ -1,4 +1,4 @@
-"""The place in an answer: no gap, no repeat, nothing of another request."""
+"""Tests that answers have no gaps, repetitions or foreign chunks."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 def feed(*chunks):
-    """Returns the text passed on, what was counted, and how it ended."""
+    """Returns the delivered text, the counters and the end or the error."""
     sink = sinks.MemorySink()
     metrics = metric_store.Metrics()
     cursor = cursors.AnswerCursor(sink, metrics)
@@ -37,7 +37,7 @@
     return sink.join_text(), metrics.snapshot(), ended
 
 
-def test_pieces_in_order_are_passed_on_up_to_the_end():
+def test_chunks_in_order_are_delivered_to_the_end():
     text, counts, ended = feed(
         make_chunk(0, 3), make_chunk(3), make_chunk(4, 2, end=True)
     )
@@ -45,8 +45,8 @@
     assert ended is True
 
 
-def test_piece_of_another_attempt_is_dropped_and_counted():
-    """Even its end, and though it would come next."""
+def test_chunk_of_another_attempt_is_dropped_and_counted():
+    """Also if it is an end and has the next index."""
     other = make_chunk(1, attempt_id="q/1", end=True, digest="e")
     assert feed(make_chunk(0), other) == (
         enginetokens.expected_text("d", 0, 1),
@@ -55,7 +55,7 @@
     )
 
 
-def test_repeated_piece_is_passed_on_once():
+def test_repeated_chunk_is_delivered_once():
     text, counts, _ = feed(make_chunk(0, 2), make_chunk(0, 2), make_chunk(2))
     assert text == enginetokens.expected_text("d", 0, 3)
     assert counts == {"relay.repeated_chunks": 1}
@@ -69,7 +69,7 @@
     )
 
 
-def test_piece_that_reaches_back_is_an_error():
+def test_chunk_that_overlaps_delivered_tokens_is_an_error():
     assert feed(make_chunk(0, 2), make_chunk(1, 3))[2] == (
         "stream_cut: the engine's stream is not whole: token 2 overlaps"
     )
@@ -89,7 +89,7 @@
         max_size=8,
     )
 )
-def test_what_is_passed_on_is_always_a_beginning_of_the_answer(chunks):
+def test_delivered_text_is_always_a_prefix_of_the_answer(chunks):
     text, _, _ = feed(*chunks)
     whole = enginetokens.expected_text("d", 0, 30)
     assert whole.startswith(text)
--- a/rhubarblock/relay/events.py
+++ b/rhubarblock/relay/events.py
@@ -1,4 +1,4 @@
-"""The JSON of completions, as a stream of events and as one answer."""
+"""JSON of completions, as server-sent events and as one object."""
 
 import json
 from typing import Any
@@ -7,8 +7,8 @@
 from rhubarblock.relay import completion as completions
 
 DONE = b"data: [DONE]\n\n"
-# What follows the text in the event of a piece that is not the last one.
-PIECE_END = b'","logprobs":null,"finish_reason":null}]}\n\n'
+# What follows the text in the event of a chunk that is not the last one.
+CHUNK_EVENT_END = b'","logprobs":null,"finish_reason":null}]}\n\n'
 
 
 def format_event(fields: dict[str, Any]) -> bytes:
@@ -23,7 +23,7 @@
 def describe_chunk(
     request_id: str, created: int, model: str, chunk: attempts.Chunk
 ) -> dict[str, Any]:
-    """Returns the object of one piece of an answer."""
+    """Returns the JSON object of one chunk of an answer."""
     return {
         "id": request_id,
         "object": "text_completion",
@@ -40,21 +40,21 @@
     }
 
 
-def make_piece_start(request_id: str, created: int, model: str) -> bytes:
-    """Returns what precedes the text in every event of one answer.
+def make_chunk_event_start(request_id: str, created: int, model: str) -> bytes:
+    """Returns the bytes before the text in every chunk event of an answer.
 
     Args:
-      request_id: id of the answer.
-      created: its beginning in seconds since 1970.
+      request_id: id of the request.
+      created: start of the answer in seconds since 1970.
       model: model name.
     """
-    piece = attempts.Chunk("", 0, 0, "")
-    event = format_event(describe_chunk(request_id, created, model, piece))
-    return event.removesuffix(PIECE_END)
+    chunk = attempts.Chunk("", 0, 0, "")
+    event = format_event(describe_chunk(request_id, created, model, chunk))
+    return event.removesuffix(CHUNK_EVENT_END)
 
 
 def describe_usage(completion: completions.Completion) -> dict[str, Any]:
-    """Returns the usage of a whole answer."""
+    """Returns the usage object of a whole answer."""
     return {
         "prompt_tokens": completion.prompt_tokens,
         "completion_tokens": completion.completion_tokens,
@@ -63,14 +63,14 @@
     }
 
 
-def describe_whole(
+def describe_completion(
     request_id: str,
     created: int,
     model: str,
     text: str,
     completion: completions.Completion,
 ) -> dict[str, Any]:
-    """Returns the object of a whole answer."""
+    """Returns the JSON object of a whole answer."""
     chunk = attempts.Chunk("", 0, 0, text, True, completion.finish_reason)
     fields = describe_chunk(request_id, created, model, chunk)
     fields["usage"] = describe_usage(completion)
--- a/rhubarblock/relay/guard.py
+++ b/rhubarblock/relay/guard.py
@@ -1,7 +1,7 @@
-"""Limits, quarantine and endpoint states around a request.
+"""Applies limits, quarantine and endpoint health to requests.
 
-The guard is the one place where the relay meets them; the relay itself only
-says what happened.
+The guard is the relay's only interface to them: the relay reports what happens
+to a request, and the guard passes it to the component concerned.
 """
 
 from collections.abc import AsyncIterator
@@ -19,41 +19,43 @@
 from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.quarantine import gate as quarantines
 
-# Prompts over this many tokens count against the limit of long prompts.
+# Prompts from this many tokens on count against the limit of long prompts.
 LONG_TOKENS = 100_000
 
 
 class Guard:
-    """Admits requests and learns from their ends."""
+    """Admits requests and reports how they end."""
 
-    __slots__ = ("_crashes", "_limiter", "_quarantine", "_report")
+    __slots__ = ("_crash_detector", "_limiter", "_quarantine", "_report")
 
     def __init__(
         self,
         limiter: limits.Limiter,
         quarantine: quarantines.Quarantine,
-        crash_observer: crashes.EngineCrashDetector,
+        crash_detector: crashes.EngineCrashDetector,
         report: Callable[[str, failures.Failure | None], None],
     ):
         """Creates a guard.
 
         Args:
           limiter: limits of institutions and workspaces.
-          quarantine: digests that crash endpoints.
-          crash_observer: finds out which failures are crashes.
-          report: takes an endpoint id and its failure, None for a success.
+          quarantine: isolates digests that crash endpoints.
+          crash_detector: finds out which failures are crashes.
+          report: receives an endpoint id and its failure, or None for a
+            success.
         """
         self._limiter = limiter
         self._quarantine = quarantine
-        self._crashes = crash_observer
+        self._crash_detector = crash_detector
         self._report = report
 
     @contextlib.contextmanager
     def admit(self, request: requests.PromptRequest) -> Iterator[None]:
-        """Owns the request's part of the limits while the context is open.
+        """Counts the request against its limits while the context is open.
 
         Raises:
-          failures.FailureError: over a limit or in quarantine; NOT_RUN.
+          failures.FailureError: the request exceeds a limit or is in
+            quarantine; NOT_RUN.
         """
         allowed = self._quarantine.check(request.digest)
         if isinstance(allowed, result.Failure):
@@ -79,20 +81,23 @@
         has_room: Callable[[str], bool],
         left_s: float,
     ) -> AsyncIterator[quarantines.Permit | None]:
-        """Waits until a digest may run; a suspect runs in one copy, alone.
+        """Waits until a digest may run.
+
+        A suspected digest runs as a single copy, alone on its engine.
 
         Args:
-          digest: what is to run.
+          digest: digest of the request.
           service: engine service.
-          list_ready: returns the engines on which it may run.
-          has_room: says whether an engine would run it without a wait.
+          list_ready: returns the engines that could run it.
+          has_room: returns whether an engine would run it without a wait.
           left_s: seconds until its deadline.
 
         Yields:
-          The permit, which names the engine, or None when it may go anywhere.
+          The permit, which names the engine, or None if any engine may run
+          it.
 
         Raises:
-          failures.FailureError: it may not run; NOT_RUN.
+          failures.FailureError: it must not run; NOT_RUN.
         """
         acquired = await self._quarantine.acquire(
             digest, service, list_ready, left_s, left_s, has_room
@@ -109,7 +114,7 @@
             await self._quarantine.release(permit)
 
     def is_suspected(self, digest: str) -> bool:
-        """Says whether a digest may run only by a permit at present.
+        """Returns whether a digest needs a permit to run at present.
 
         Raises:
           failures.FailureError: it is in quarantine; NOT_RUN.
@@ -121,7 +126,7 @@
         return decision is quarantines.Decision.ISOLATE
 
     def note_started(self, permit: quarantines.Permit | None) -> None:
-        """Notes the first token of what may run by a permit."""
+        """Reports the first token of a request that runs with a permit."""
         if permit is not None:
             self._quarantine.note_started(permit)
 
@@ -137,18 +142,18 @@
     async def note_failure(
         self, endpoint_id: str, address: str, failure: failures.Failure
     ) -> None:
-        """Takes in a failed attempt; returns once the peers know of a crash."""
+        """Reports a failed attempt; returns once peers know of any crash."""
         self._report(endpoint_id, failure)
         if failure.code in (
             failures.FailureCode.ENDPOINT_FAILED,
             failures.FailureCode.STREAM_CUT,
         ):
-            await self._crashes.examine(endpoint_id, address)
+            await self._crash_detector.check_endpoint(endpoint_id, address)
 
     def note_success(
         self, placement: placements.Placement, digest: str
     ) -> None:
-        """Takes in an attempt that gave its whole answer."""
+        """Reports a job that delivered its whole answer."""
         self._quarantine.record_finished(digest)
         for name in placement.list_endpoints():
             self._report(name, None)
--- a/rhubarblock/relay/promptrelay.py
+++ b/rhubarblock/relay/promptrelay.py
@@ -1,8 +1,8 @@
-"""A prompt's way through an instance, from admission to the last token.
+"""Serves prompts, from admission to the last token.
 
-It is written straight down: limits, quarantine, admission, queue, placement,
-attempts. Every step that takes something owns it in a context, so each way
-out gives it back.
+The steps follow each other: quarantine, limits, admission, queue, placement,
+attempts. Each step that acquires a resource holds it in a context manager, so
+it is released however the request ends.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
         routing: tries.Routing,
         try_runner: tries.TryRunner,
         guard: guards.Guard,
-        retry_rules: retries.RetryPolicy,
+        retry_policy: retries.RetryPolicy,
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
     ):
@@ -55,7 +55,7 @@
           routing: admission, queue, placement and prediction.
           try_runner: runs one try of a prompt.
           guard: limits and quarantine.
-          retry_rules: decides on further attempts.
+          retry_policy: decides on retries.
           timers: timer service.
           metrics: counters.
         """
@@ -63,13 +63,13 @@
         self._routing = routing
         self._tries = try_runner
         self._guard = guard
-        self._retries = retry_rules
+        self._retries = retry_policy
         self._timers = timers
         self._metrics = metrics
         self._running: set[str] = set()
 
     def is_running(self, request_id: str) -> bool:
-        """Says whether a request is being served here."""
+        """Returns whether this instance is serving a request."""
         return request_id in self._running
 
     async def complete(
@@ -78,12 +78,12 @@
         """Serves one prompt.
 
         Args:
-          request: a checked request.
-          sink: takes the answer.
+          request: a validated request.
+          sink: receives the answer.
 
         Returns:
-          What was passed on, or why it was not; after a failure the sink may
-          hold the beginning of an answer.
+          The summary of the answer, or the failure. After a failure the sink
+          may have received the beginning of an answer.
         """
         self._metrics.count("relay.requests")
         self._running.add(request.request_id)
@@ -105,8 +105,10 @@
             latest_start_s = self._check_deadline(request)
             self._metrics.count("relay.admitted")
             queue = self._routing.queue
-            async with queue.acquire(request, latest_start_s) as turn:
-                return await self._serve(request, sink, turn)
+            async with queue.acquire(
+                request, latest_start_s
+            ) as dispatch_permit:
+                return await self._serve(request, sink, dispatch_permit)
 
     def _check_deadline(self, request: requests.PromptRequest) -> float:
         now_s = self._timers.read_monotonic()
@@ -120,14 +122,14 @@
         self,
         request: requests.PromptRequest,
         sink: sinks.Sink,
-        turn: fairqueue.DispatchPermit,
+        dispatch_permit: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         cursor = cursors.AnswerCursor(sink, self._metrics)
         history = retries.History()
         try:
             async with asyncio.timeout_at(request.deadline_s):
-                return await self._try_until_whole(
-                    request, cursor, history, turn
+                return await self._run_with_retries(
+                    request, cursor, history, dispatch_permit
                 )
         except TimeoutError:
             raise failures.FailureError(
@@ -138,20 +140,22 @@
                 )
             ) from None
         except failures.FailureError as error:
-            raise failures.FailureError(history.judge(error.failure)) from None
+            raise failures.FailureError(
+                history.combine_verdict(error.failure)
+            ) from None
 
-    async def _try_until_whole(
+    async def _run_with_retries(
         self,
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.DispatchPermit,
+        dispatch_permit: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         while True:
             history.attempts += 1
             try:
                 completion = await self._tries.run_try(
-                    request, cursor, history, turn
+                    request, cursor, history, dispatch_permit
                 )
             except runners.AttemptError as error:
                 self._metrics.count("relay.attempts_failed")
--- a/rhubarblock/relay/promptrelay_test.py
+++ b/rhubarblock/relay/promptrelay_test.py
@@ -1,4 +1,4 @@
-"""A prompt's way under faults: resume, verdicts, what is freed."""
+"""Tests of prompts under faults: resumption, verdicts, freed resources."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def list_held(fleet):
-    """Returns what engines and ledgers still hold for requests."""
+    """Returns KV cache and grants that are still held for requests."""
     held = [engine.kv_held() for engine in fleet.engines if engine.kv_held()]
     for node in fleet.nodes:
         loads = node.instance.parts.table.list_all()
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("decoders", [0, 1])
 @pytest.mark.parametrize("tokens", [1_000, 500_000])
-def test_answer_is_whole_and_nothing_stays(decoders, tokens):
+def test_answer_is_whole_and_all_resources_are_freed(decoders, tokens):
     with smallfleet.open_fleet(decoders=decoders) as fleet:
         caller = fleet.ask(tokens=tokens)
         fleet.finish(caller)
@@ -54,7 +54,7 @@
         assert list_held(fleet) == []
 
 
-def test_slow_reader_is_not_laid_to_the_engine():
+def test_slow_reader_is_not_counted_as_an_engine_stall():
     with smallfleet.open_fleet(instances=1) as fleet:
         caller = fleet.ask(output=40)
         timers = fleet.simulation.timers
@@ -73,7 +73,7 @@
         assert not any(view.probation for view in views)
 
 
-def test_prompt_larger_than_the_fleet_is_refused_whole():
+def test_prompt_larger_than_the_fleet_is_refused_without_output():
     with smallfleet.open_fleet(engines=2) as fleet:
         caller = fleet.ask(tokens=900_000, deadline_s=60.0)
         fleet.finish(caller)
--- a/rhubarblock/relay/prompts.py
+++ b/rhubarblock/relay/prompts.py
@@ -1,8 +1,8 @@
-"""Turns the body of a completions call into a checked request.
+"""Parses and validates completions calls.
 
-Prompts come as text or as token ids. Text is measured at four bytes a token,
-which is the rule of the stand-in engine; engines with a tokenizer of their own
-would be asked for theirs.
+Prompts are texts or lists of token ids. The length of a text is estimated at
+four bytes a token, which is what the stand-in engine counts. An engine with a
+tokenizer of its own would have to be asked for the length.
 """
 
 import dataclasses
@@ -18,17 +18,18 @@
 
 BYTES_PER_TOKEN = 4
 BLOCK_TOKENS = 512
-# Only the beginning of a prompt can be shared with others, in blocks.
-MOST_BLOCKS = 32
+# Most blocks of a prompt that are digested. Only the beginning of a prompt can
+# be shared with other prompts.
+MAX_PREFIX_BLOCKS = 32
 DEFAULT_MAX_TOKENS = 16
-LONGEST_DEADLINE_S = 3_600.0
+MAX_TIMEOUT_S = 3_600.0
 
-# Fields of the published API that are read here.
-READ_FIELDS = frozenset(
+# Fields of the published API that are evaluated here.
+SUPPORTED_FIELDS = frozenset(
     {"model", "prompt", "max_tokens", "stream", "stream_options"}
 )
-# Fields of the published API that change nothing at this layer.
-PASSED_FIELDS = frozenset(
+# Fields of the published API that are accepted and have no effect here.
+IGNORED_FIELDS = frozenset(
     {
         "best_of",
         "echo",
@@ -50,15 +51,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PromptCall:
-    """A completions call as read from its body.
+    """A completions call as parsed from its body.
 
     Attributes:
       model: model name.
       prompt: the prompt as text.
-      prompt_tokens: its length in tokens.
+      prompt_tokens: length of the prompt in tokens.
       max_tokens: most tokens to generate.
       stream: whether the answer is streamed.
-      include_usage: whether the stream ends with the usage.
+      include_usage: whether the stream ends with a usage event.
     """
 
     model: str
@@ -70,10 +71,10 @@
 
 
 def parse_call(body: bytes) -> PromptCall:
-    """Reads the body of a completions call.
+    """Parses the body of a completions call.
 
     Raises:
-      failures.FailureError: BAD_REQUEST, naming the field.
+      failures.FailureError: BAD_REQUEST, with a message that names the field.
     """
     try:
         fields = json.loads(body)
@@ -81,7 +82,7 @@
         raise _reject(f"the body is not JSON: {error}") from None
     if not isinstance(fields, dict):
         raise _reject("the body is not a JSON object")
-    unknown = sorted(set(fields) - READ_FIELDS - PASSED_FIELDS)
+    unknown = sorted(set(fields) - SUPPORTED_FIELDS - IGNORED_FIELDS)
     if unknown:
         raise _reject(f"unknown field {unknown[0]!r}")
     for name in _SINGLE_CHOICE_FIELDS:
@@ -104,20 +105,21 @@
     credential: catalogues.Credential,
     catalogue: catalogues.Catalogue,
     arrived_s: float,
-    deadline_s: float,
+    timeout_s: float,
 ) -> requests.PromptRequest:
-    """Checks a call against the catalogue and returns the request.
+    """Validates a call against the catalogue and returns the request.
 
     Args:
-      call: as read from the body.
+      call: the parsed call.
       request_id: id of the request.
-      credential: of the caller.
-      catalogue: in force.
-      arrived_s: present monotonic time.
-      deadline_s: seconds that the request has.
+      credential: credential of the caller.
+      catalogue: catalogue in force.
+      arrived_s: current monotonic time.
+      timeout_s: seconds until the deadline.
 
     Raises:
-      failures.FailureError: unknown workspace or model, or too long.
+      failures.FailureError: UNKNOWN_WORKSPACE, UNKNOWN_MODEL or
+        PROMPT_TOO_LONG; NOT_RUN.
     """
     workspace = callers.find_workspace(credential, catalogue)
     model = catalogue.models.get(call.model)
@@ -141,7 +143,7 @@
         request_class=workspace.request_class,
         prompt_tokens=call.prompt_tokens,
         max_tokens=call.max_tokens,
-        deadline_s=arrived_s + deadline_s,
+        deadline_s=arrived_s + timeout_s,
         digest=digest_prompt(call),
         prefix_blocks=digest_blocks(call.prompt),
         prompt=call.prompt,
@@ -150,11 +152,16 @@
     )
 
 
-def read_deadline(header: str | None, default_s: float) -> float:
-    """Returns the seconds that a request has, from its header.
+def read_timeout(header: str | None, default_s: float) -> float:
+    """Returns the timeout of a request in seconds.
+
+    Args:
+      header: value of the timeout header, or None if there is none.
+      default_s: timeout without a header, in seconds.
 
     Raises:
-      failures.FailureError: BAD_REQUEST when it is no usable number.
+      failures.FailureError: BAD_REQUEST if it is not a number in the allowed
+        range.
     """
     if header is None:
         return default_s
@@ -162,13 +169,13 @@
         seconds = float(header)
     except ValueError:
         raise _reject(f"X-Timeout-S is not a number: {header!r}") from None
-    if not 0 < seconds <= LONGEST_DEADLINE_S:
+    if not 0 < seconds <= MAX_TIMEOUT_S:
         raise _reject(f"X-Timeout-S must be over 0, at most 3600: {header!r}")
     return seconds
 
 
 def digest_prompt(call: PromptCall) -> str:
-    """Returns the digest of all that an answer depends on."""
+    """Returns the digest of everything that an answer depends on."""
     digest = hashlib.blake2b(digest_size=16)
     digest.update(f"{call.model}\n{call.max_tokens}\n".encode())
     digest.update(call.prompt.encode())
@@ -176,9 +183,15 @@
 
 
 def digest_blocks(prompt: str) -> tuple[str, ...]:
-    """Returns the chained digests of the first whole blocks of a prompt."""
+    """Returns the chained digests of a prompt's first complete blocks.
+
+    Each digest covers all blocks up to its own, so that equal digests mean
+    equal prefixes.
+    """
     size = BLOCK_TOKENS * BYTES_PER_TOKEN
-    data = prompt[: MOST_BLOCKS * size].encode()[: MOST_BLOCKS * size]
+    data = prompt[: MAX_PREFIX_BLOCKS * size].encode()[
+        : MAX_PREFIX_BLOCKS * size
+    ]
     digest = hashlib.blake2b(digest_size=8)
     blocks = []
     for start in range(0, len(data) - size + 1, size):
@@ -189,7 +202,7 @@
 
 def _read_prompt(value: Any) -> tuple[str, int]:
     """Returns the prompt as text and its length in tokens."""
-    if _is_batch_of_one(value):
+    if _is_single_item_list(value):
         value = value[0]
     if isinstance(value, str) and value:
         return value, -(-_count_bytes(value) // BYTES_PER_TOKEN)
@@ -198,7 +211,7 @@
     raise _reject("'prompt' must be one text or one list of token ids")
 
 
-def _is_batch_of_one(value: Any) -> bool:
+def _is_single_item_list(value: Any) -> bool:
     return (
         isinstance(value, list)
         and len(value) == 1
@@ -207,7 +220,7 @@
 
 
 def _is_token(value: Any) -> bool:
-    # In Python a boolean is an integer, in JSON it is not.
+    # bool is a subclass of int in Python, but JSON has distinct booleans.
     return isinstance(value, int) and not isinstance(value, bool)
 
 
--- a/rhubarblock/relay/prompts_test.py
+++ b/rhubarblock/relay/prompts_test.py
@@ -1,4 +1,4 @@
-"""Bodies of completions calls, credentials, and the decisions to retry."""
+"""Tests of completions bodies, credentials and retry decisions."""
 
 import dataclasses
 import json
@@ -40,7 +40,7 @@
         ([[5, 6]], "5 6", 2),
     ],
 )
-def test_prompt_is_text_or_tokens(prompt, text, tokens):
+def test_prompt_is_one_text_or_one_list_of_tokens(prompt, text, tokens):
     call = parse(prompt=prompt)
     assert (call.prompt, call.prompt_tokens) == (text, tokens)
 
@@ -64,7 +64,7 @@
         lambda inner: (
             strategies.lists(inner, max_size=3)
             | strategies.dictionaries(
-                strategies.sampled_from(sorted(prompts.READ_FIELDS)), inner
+                strategies.sampled_from(sorted(prompts.SUPPORTED_FIELDS)), inner
             )
         ),
         max_leaves=6,
@@ -79,7 +79,7 @@
         assert call.prompt_tokens >= 1 and call.max_tokens >= 1
 
 
-def test_digest_holds_all_that_the_answer_depends_on():
+def test_digest_covers_what_the_answer_depends_on():
     calls = [parse(), parse(model="b"), parse(prompt="b"), parse(max_tokens=2)]
     assert len({prompts.digest_prompt(call) for call in calls}) == 4
     assert prompts.digest_prompt(parse(user="a")) == prompts.digest_prompt(
@@ -87,7 +87,7 @@
     )
 
 
-def test_prompts_share_the_blocks_that_they_begin_with():
+def test_prompts_with_a_common_prefix_share_its_block_digests():
     size = prompts.BLOCK_TOKENS * prompts.BYTES_PER_TOKEN
     head = "h" * 2 * size
     first = prompts.digest_blocks(head + "a" * size)
@@ -95,10 +95,12 @@
     assert (len(first), len(second)) == (3, 3)
     assert first[:2] == second[:2] and first[2] != second[2]
     assert prompts.digest_blocks("h" * (size - 1)) == ()
-    assert len(prompts.digest_blocks("h" * 99 * size)) == prompts.MOST_BLOCKS
+    assert (
+        len(prompts.digest_blocks("h" * 99 * size)) == prompts.MAX_PREFIX_BLOCKS
+    )
 
 
-def test_credentials_follow_the_catalogue_in_force():
+def test_credentials_change_with_the_catalogue_in_force():
     current = loopback.make_catalogue()
     index = callers.CallerIndex(lambda: current)
     header = f"bearer {loopback.SECRET} "
@@ -109,7 +111,7 @@
     assert raised.value.failure.code is failures.FailureCode.UNAUTHENTICATED
 
 
-def test_nobody_is_unknown_before_there_is_a_catalogue():
+def test_callers_are_refused_as_unavailable_without_a_catalogue():
     index = callers.CallerIndex(catalogues.Catalogue)
     with pytest.raises(failures.FailureError) as raised:
         index.find(f"Bearer {loopback.SECRET}")
@@ -134,7 +136,7 @@
         ([], False, "MAY_HAVE_RUN", "MAY_HAVE_RUN"),
     ],
 )
-def test_verdict_of_a_request_is_that_of_all_its_jobs(
+def test_verdict_of_a_request_combines_all_its_jobs(
     ended, sent, failure, expected
 ):
     history = retries.History()
@@ -142,25 +144,25 @@
         history.sent = True
         history.note_failure(make_failure(_Verdict(verdict)), "a")
     history.sent = sent
-    judged = history.judge(make_failure(_Verdict(failure)))
-    assert judged.verdict.value == expected
+    combined = history.combine_verdict(make_failure(_Verdict(failure)))
+    assert combined.verdict.value == expected
 
 
 def run_retries(count, successes):
-    """Returns how many retries are let pass when all requests fail."""
+    """Returns how many of `count` failed requests may be retried."""
 
     async def main():
         timers = timer_service.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(timers)
-        rules = retries.RetryPolicy(budget, timers, random.Random(1))
+        policy = retries.RetryPolicy(budget, timers, random.Random(1))
         passed = 0
         for _ in range(successes):
-            rules.note_success()
+            policy.note_success()
         for _ in range(count):
             history = retries.History(attempts=1)
             history.note_failure(make_failure(_Verdict.MAY_HAVE_RUN), "a")
             try:
-                await rules.wait(history, 100.0)
+                await policy.wait(history, 100.0)
             except failures.FailureError as error:
                 failure = error.failure
                 assert failure.verdict is _Verdict.MAY_HAVE_RUN
@@ -172,9 +174,9 @@
     return virtualloop.run(main())
 
 
-def test_storm_of_failures_is_retried_in_small_part():
+def test_retries_of_mass_failures_stay_within_the_budget():
     assert 0 < run_retries(1_000, 0) <= 50
-    # With as many successes before, still no more than a quarter of them.
+    # Even after as many successes, at most a quarter of them is retried.
     assert run_retries(1_000, 1_000) <= 250
 
 
@@ -182,12 +184,12 @@
     async def main():
         timers = timer_service.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(timers)
-        rules = retries.RetryPolicy(budget, timers, random.Random(1))
+        policy = retries.RetryPolicy(budget, timers, random.Random(1))
         history = retries.History(attempts=retries.MAX_ATTEMPTS)
         history.note_failure(make_failure(_Verdict.MAY_HAVE_RUN), "a")
         history.note_failure(make_failure(_Verdict.NOT_RUN), "b")
         with pytest.raises(failures.FailureError) as raised:
-            await rules.wait(history, 100.0)
+            await policy.wait(history, 100.0)
         return raised.value.failure, history.failed_endpoints
 
     failure, failed = virtualloop.run(main())
