--- a/rhubarblock/relay/retries.py
+++ b/rhubarblock/relay/retries.py
@@ -1,8 +1,8 @@
-"""Decides whether and when a prompt is tried again.
+"""Decides whether and when a prompt is retried.
 
-A prompt is idempotent: generating it again costs time and has no effect
-outside, so any failed attempt may be followed by another one, within the
-deadline, a number of tries and the retry budget of the instance.
+A prompt is idempotent: generating it again costs time but has no side effects.
+Any failure may therefore be retried, within the deadline, the maximum number
+of attempts and the retry budget of the instance.
 """
 
 import dataclasses
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """What happened to one request so far.
+    """The jobs of one request so far.
 
     Attributes:
-      attempts: number of jobs begun.
+      attempts: number of jobs started.
       sent: whether the present job may have reached an engine.
-      was_sent: whether any job may have.
-      verdict: what the ended jobs say.
+      was_sent: whether any job may have reached an engine.
+      verdict: combined verdict of the jobs that have ended.
       failed_endpoints: endpoints at which a job failed.
       last: the latest failure.
     """
@@ -38,26 +38,26 @@
     last: failures.Failure | None = None
 
     def note_failure(self, failure: failures.Failure, endpoint_id: str) -> None:
-        """Takes in the end of a job."""
+        """Records that a job failed at an endpoint."""
         self.last = failure
         self.sent = False
         self.verdict = verdicts.combine(self.verdict, failure.verdict)
         self.failed_endpoints.add(endpoint_id)
 
     def compute_verdict(self) -> verdicts.Verdict:
-        """Returns the verdict if the request were given up at present."""
+        """Returns the verdict that the request has if it ends now."""
         if self.sent:
             return verdicts.combine(self.verdict, verdicts.Verdict.MAY_HAVE_RUN)
         return self.verdict
 
-    def judge(self, failure: failures.Failure) -> failures.Failure:
-        """Returns a failure of the request with the verdict of all its jobs."""
+    def combine_verdict(self, failure: failures.Failure) -> failures.Failure:
+        """Returns a failure with the combined verdict of all jobs."""
         verdict = verdicts.combine(self.compute_verdict(), failure.verdict)
         return dataclasses.replace(failure, verdict=verdict)
 
 
 class RetryPolicy:
-    """Spends the retry budget of one instance."""
+    """Allows or refuses retries, within the instance's retry budget."""
 
     __slots__ = ("_backoff", "_budget", "_timers")
 
@@ -72,14 +72,18 @@
         self._backoff = backoff.Backoff(rng)
 
     def note_success(self) -> None:
-        """Lets a success earn its part of a later retry."""
+        """Adds a success to the retry budget."""
         self._budget.record_success()
 
     async def wait(self, history: History, deadline_s: float) -> None:
         """Waits before the next job.
 
+        Args:
+          history: the jobs so far; the last one has failed.
+          deadline_s: deadline of the request, in monotonic seconds.
+
         Raises:
-          failures.FailureError: there is to be no further job.
+          failures.FailureError: the request must not be retried.
         """
         last = history.last
         assert last is not None
--- a/rhubarblock/relay/retrybudget_test.py
+++ b/rhubarblock/relay/retrybudget_test.py
@@ -10,7 +10,7 @@
     return spent
 
 
-def test_retries_are_a_share_of_the_successes_of_the_window():
+def test_budget_is_a_share_of_the_successes_in_the_window():
     async def main():
         clock = timers.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(clock)
@@ -20,7 +20,7 @@
         for _ in range(4):
             spent.append(spend_all(budget))
             await clock.sleep(1.0)
-        # The successes leave the window, and then the retries do.
+        # First the successes leave the window, then the retries.
         await clock.sleep(5.9)
         spent.append(spend_all(budget))
         await clock.sleep(0.1)
@@ -32,7 +32,7 @@
     assert virtualloop.run(main()) == [10, 10, 0, 0, 0, 0, 10]
 
 
-def test_one_slot_takes_a_part_of_what_was_saved():
+def test_one_slot_spends_only_a_share_of_the_budget():
     async def main():
         clock = timers.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(clock)
@@ -47,7 +47,7 @@
     assert virtualloop.run(main()) == [15, 15, 15, 15, 15, 15, 10, 0, 0]
 
 
-def test_a_quiet_instance_has_the_floor_in_each_window():
+def test_floor_is_available_in_each_window_without_successes():
     async def main():
         clock = timers.LoopTimers(0.0)
         budget = retrybudget.RetryBudget(clock)
--- a/rhubarblock/relay/runner.py
+++ b/rhubarblock/relay/runner.py
@@ -1,7 +1,7 @@
-"""Runs one placement: the attempts at the engines, straight down.
+"""Runs the job of one placement: its attempts at the engines, in sequence.
 
-What an attempt holds at an engine (stream, memory, export) is owned by a
-context and freed on every way out.
+What an attempt holds at an engine (stream, memory, exported KV cache) belongs
+to a context manager that frees it however the job ends.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import predictor
 
-# Seconds without a token after which an engine counts as stalled.
-TOKEN_PATIENCE_S = 3.0
-# A first token may take this many times its nominal time, and a while more.
-START_PATIENCE_RATIO = 4.0
+# Longest time between two tokens in seconds; then the engine has stalled.
+TOKEN_TIMEOUT_S = 3.0
+# Multiple of the nominal time to first token that is allowed in addition.
+FIRST_TOKEN_TIMEOUT_RATIO = 4.0
 
 
 class AttemptError(failures.FailureError):
-    """An attempt failed at a certain endpoint."""
+    """The failure of an attempt and the endpoint at which it failed."""
 
     def __init__(self, failure: failures.Failure, endpoint_id: str):
         super().__init__(failure)
@@ -38,15 +38,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Job:
-    """One placement of a request that is to be run.
+    """One run of a request at one placement.
 
     Attributes:
-      request: what the caller asked for.
-      placement: where it runs.
-      number: number of this try, from 1.
+      request: request of the caller.
+      placement: engines that run it.
+      number: number of this job within the request, from 1.
       owner: this instance, ``instance_id~incarnation``.
-      cursor: place in the answer.
-      on_prefill_done: called once the prompt has been computed.
+      cursor: position in the answer.
+      on_prefill_done: called for each chunk with tokens and at the end of each
+        stream. The prefill is done once the cursor has moved.
     """
 
     request: requests.PromptRequest
@@ -57,17 +58,19 @@
     on_prefill_done: Callable[[], None]
 
     @property
-    def patience_s(self) -> float:
-        """Seconds that the first token may take."""
+    def first_token_timeout_s(self) -> float:
+        """Longest time until the first token, in seconds."""
         nominal_s = predictor.nominal_start(self.request.prompt_tokens)
         wait_s = self.placement.expected_wait_s
-        return TOKEN_PATIENCE_S + START_PATIENCE_RATIO * (nominal_s + wait_s)
+        return TOKEN_TIMEOUT_S + FIRST_TOKEN_TIMEOUT_RATIO * (
+            nominal_s + wait_s
+        )
 
     def make_attempt(self, stage: str) -> attempts.Attempt:
         """Returns an attempt for the rest of the answer.
 
         Args:
-          stage: short name that tells the attempts of one job apart.
+          stage: suffix that distinguishes the attempts of one job.
         """
         request = self.request
         return attempts.Attempt(
@@ -87,41 +90,47 @@
 class AttemptRunner:
     """Runs jobs at the engines of a fleet."""
 
-    __slots__ = ("_cleanup", "_client", "find_address", "_stalls", "_timers")
+    __slots__ = (
+        "_cleanup",
+        "_client",
+        "find_address",
+        "_stall_detector",
+        "_timers",
+    )
 
     def __init__(
         self,
         client: engineclient.EngineClient,
         find_address: Callable[[str], str],
         timers: timer_service.Timers,
-        stall_watch: stalls.StallDetector,
+        stall_detector: stalls.StallDetector,
         cleanup: cleanups.Cleanup,
     ):
         """Creates a runner.
 
         Args:
-          client: way to the engines.
-          find_address: gives the address of an endpoint id.
+          client: client of the engines.
+          find_address: returns the address of an endpoint id.
           timers: timer service.
-          stall_watch: breaks off attempts without progress.
-          cleanup: cancels what may be left at an engine.
+          stall_detector: aborts attempts without progress.
+          cleanup: cancels attempts that may still hold resources.
         """
         self._client = client
         self.find_address = find_address
         self._timers = timers
-        self._stalls = stall_watch
+        self._stall_detector = stall_detector
         self._cleanup = cleanup
 
     async def run(self, job: Job) -> None:
         """Runs a job until the caller has the whole answer.
 
         Raises:
-          AttemptError: it failed; the cursor says how far it came.
+          AttemptError: the job failed; the cursor holds the tokens delivered.
         """
-        rest = job.request.max_tokens - job.cursor.next_index
+        remaining = job.request.max_tokens - job.cursor.next_index
         if job.placement.segments:
             await self._run_group(job)
-        elif job.placement.handed_over and rest > 1:
+        elif job.placement.handed_over and remaining > 1:
             await self._run_handed_over(job)
         else:
             await self._run_single(job)
@@ -130,7 +139,8 @@
         """Returns the address of an endpoint.
 
         Raises:
-          AttemptError: it is not known here yet; another one may be.
+          AttemptError: the endpoint is not known here yet. It is an attempt
+            that failed, so that another endpoint is tried.
         """
         try:
             return self.find_address(endpoint_id)
@@ -158,14 +168,14 @@
         decode_stream = self._client.generate(
             self._locate(job.placement.decode_id), decode
         )
-        async with self._own_export(address, prefill.attempt_id) as export:
-            async with open_early(decode_stream) as chunks:
+        async with self._hold_export(address, prefill.attempt_id) as export:
+            async with open_eagerly(decode_stream) as chunks:
                 await self._read_answer(job, prefill, job.placement.prefill_id)
                 job.cursor.attempt_id = decode.attempt_id
                 await self._read_stream(
-                    job, chunks, job.placement.decode_id, TOKEN_PATIENCE_S
+                    job, chunks, job.placement.decode_id, TOKEN_TIMEOUT_S
                 )
-            # The engine dropped the export itself once it had been read.
+            # The prefill engine dropped the export when it had been read.
             export.dropped = True
 
     async def _run_group(self, job: Job) -> None:
@@ -180,7 +190,7 @@
                 attempt.export = True
                 address = self._locate(segment.endpoint_id)
                 await stack.enter_async_context(
-                    self._own_export(address, attempt.attempt_id)
+                    self._hold_export(address, attempt.attempt_id)
                 )
                 await self._read_answer(job, attempt, segment.endpoint_id)
                 source = attempts.KvSource(
@@ -201,36 +211,52 @@
         async with contextlib.aclosing(
             self._client.generate(address, attempt)
         ) as chunks:
-            await self._read_stream(job, chunks, endpoint_id, job.patience_s)
+            await self._read_stream(
+                job, chunks, endpoint_id, job.first_token_timeout_s
+            )
 
     async def _read_stream(
         self,
         job: Job,
         chunks: AsyncIterator[attempts.Chunk],
         endpoint_id: str,
-        patience_s: float,
+        timeout_s: float,
     ) -> None:
-        """Passes a stream on until its end mark."""
+        """Forwards a stream to the cursor until its end mark.
+
+        Args:
+          job: the job.
+          chunks: chunks of the stream.
+          endpoint_id: engine that sends it.
+          timeout_s: longest time until the first chunk, in seconds.
+
+        Raises:
+          AttemptError: the stream stalled, failed or is incomplete.
+        """
         read_monotonic = self._timers.read_monotonic
         try:
-            async with self._stalls.guard(patience_s) as watch:
+            async with self._stall_detector.watch_progress(timeout_s) as watch:
                 async for chunk in chunks:
                     watch.awaits_engine = False
                     ended = await job.cursor.accept(chunk)
-                    watch.note_progress(read_monotonic(), TOKEN_PATIENCE_S)
+                    watch.note_progress(read_monotonic(), TOKEN_TIMEOUT_S)
                     if chunk.count or ended:
                         job.on_prefill_done()
                     if ended:
                         return
-            raise cursors.make_cut("it has no end mark")
+            raise cursors.make_stream_cut_error("it has no end mark")
         except failures.FailureError as error:
             raise AttemptError(error.failure, endpoint_id) from error
 
     @contextlib.asynccontextmanager
-    async def _own_export(
+    async def _hold_export(
         self, address: str, attempt_id: str
     ) -> AsyncIterator["Export"]:
-        """Owns what an attempt keeps at an engine beyond its stream."""
+        """Cancels an exporting attempt on exit, unless it was dropped.
+
+        An export outlives its stream: the engine keeps the KV cache until
+        another engine has read it.
+        """
         export = Export()
         try:
             yield export
@@ -241,29 +267,29 @@
 
 @dataclasses.dataclass(slots=True)
 class Export:
-    """KV cache kept at an engine for another one.
+    """KV cache that an engine keeps for another one to read.
 
     Attributes:
-      dropped: whether the engine no longer keeps it.
+      dropped: whether the engine has freed it.
     """
 
     dropped: bool = False
 
 
 @contextlib.asynccontextmanager
-async def open_early(
+async def open_eagerly(
     stream: AsyncGenerator[attempts.Chunk, None],
 ) -> AsyncIterator[AsyncIterator[attempts.Chunk]]:
-    """Opens a stream at once and reads it later.
+    """Opens a stream before its chunks are read.
 
-    The engine imports KV cache from the moment the stream is opened, so that
-    the copy overlaps the computation of the prompt.
+    The engine starts to import KV cache when the stream is opened, so that the
+    transfer overlaps the prefill.
 
     Args:
       stream: an async generator that was not started.
 
     Yields:
-      The pieces, from the first one.
+      All chunks of the stream.
     """
     first = asyncio.ensure_future(anext(stream, None))
 
--- a/rhubarblock/relay/runner_test.py
+++ b/rhubarblock/relay/runner_test.py
@@ -1,4 +1,4 @@
-"""Runs of single placements at stand-in engines, by the fake clock."""
+"""Tests of single jobs at stand-in engines, on virtual time."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Run:
-    """A runner before three engines, and one prompt."""
+    """A runner for three engines, and one prompt."""
 
     def __init__(self, bench, tokens=1_000, output=8):
         self.bench = bench
@@ -95,10 +95,9 @@
     [(SINGLE, 1_000), (HANDED, 1_000), (GROUP, 900_000)],
 )
 @pytest.mark.parametrize("engine", ENGINES.split())
-def test_engine_that_dies_is_named_and_the_others_freed(
+def test_crash_in_prefill_names_the_engine_and_frees_the_others(
     placement, tokens, engine
 ):
-    """It dies during the computation of the prompt."""
     if engine not in placement.list_endpoints():
         return
 
@@ -111,7 +110,8 @@
         return raised.value.endpoint_id, bench.list_held()
 
     named, held = enginetesting.run_bench(main, ENGINES)
-    # A group's engine that nobody waits for yet is missed by the next one.
+    # In a group, the crash of an engine whose stream nobody reads at the time
+    # may be noticed by the next engine, which is then the one named.
     assert named == engine or placement is GROUP
     assert held == [{}, {}, {}]
 
@@ -122,14 +122,14 @@
         bench.clock.call_later(0.045, bench.engine.die)
         with pytest.raises(runners.AttemptError):
             await run.run(SINGLE)
-        kept = run.cursor.next_index
+        delivered = run.cursor.next_index
         await run.run(placements.Placement("b:1", "b:1", 1), number=2)
-        return kept, run.whole, run.metrics.snapshot()
+        return delivered, run.whole, run.metrics.snapshot()
 
     assert enginetesting.run_bench(main, ENGINES) == (2, True, {})
 
 
-def test_endpoint_that_is_not_known_here_is_an_attempt_that_failed():
+def test_unknown_endpoint_counts_as_a_failed_attempt():
     async def main(bench):
         with pytest.raises(runners.AttemptError) as raised:
             await Run(bench).run(placements.Placement("z:1", "z:1", 1))
@@ -138,7 +138,7 @@
     assert enginetesting.run_bench(main, ENGINES) == ("z:1", "NOT_RUN")
 
 
-def test_export_is_cancelled_later_when_its_engine_cannot_be_reached():
+def test_export_is_cancelled_once_its_engine_is_reachable_again():
     async def main(bench):
         run = Run(bench, output=400)
         runs = asyncio.ensure_future(run.run(HANDED))
--- a/rhubarblock/relay/servicecalls.py
+++ b/rhubarblock/relay/servicecalls.py
@@ -1,9 +1,9 @@
-"""Calls to plain services: retried where safe, at most once where not.
+"""Calls to plain services: retried if safe, otherwise run at most once.
 
-Three ways, by what the call allows. An idempotent call is tried again after
-any failure. A call that may not be repeated is tried again only after an
-attempt that provably did not run; with an idempotency key it is claimed
-first, so that no other request with the key runs it, and its answer is kept.
+An idempotent call is retried after any failure. Any other call is retried only
+after an attempt that provably did not run. If such a call has an idempotency
+key, the key is claimed first, so that no other request with the key runs the
+call, and its answer is stored for later requests.
 """
 
 import asyncio
@@ -30,20 +30,20 @@
 
 ServiceResult = result.Result[requests.ServiceAnswer, failures.Failure]
 
-# Chooses an endpoint for a call, given the addresses that failed already;
-# None when there is none left.
+# Returns an endpoint for a call, given the addresses that have failed, or None
+# if none is left.
 EndpointChooser = Callable[[requests.ServiceCall, frozenset[str]], str | None]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallSettings:
-    """How calls are tried again.
+    """How calls are retried.
 
     Attributes:
       attempts: most attempts of one call.
-      backoff: waits between them.
-      release_wait_s: seconds that a caller whose call did not run waits for
-        its key to be free again.
+      backoff: waits between attempts.
+      release_wait_s: longest time that a call which did not run waits for its
+        key to be released before it returns, in seconds.
     """
 
     attempts: int = 4
@@ -57,7 +57,7 @@
     """Sends the calls of one entry instance to plain services.
 
     Attributes:
-      counters: attempts and outcomes.
+      counters: counts attempts and outcomes.
     """
 
     __slots__ = (
@@ -82,16 +82,16 @@
         settings: CallSettings | None = None,
         take_retry: Callable[[], bool] = lambda: True,
     ):
-        """Creates a caller; ``open_caller`` also stops it in order.
+        """Creates a caller; ``open_caller`` also shuts it down gracefully.
 
         Args:
           claims: ledger for calls with an idempotency key.
           client: sends one attempt.
-          choose_endpoint: chooses where it goes.
+          choose_endpoint: chooses the endpoint of an attempt.
           timers: clock and sleeps.
-          rng: spreads the waits.
-          settings: how calls are tried again, or None for the defaults.
-          take_retry: takes one retry from the fleet's budget and says whether
+          rng: adds jitter to the waits.
+          settings: how calls are retried, or None for the defaults.
+          take_retry: takes one retry from the retry budget; returns whether
             there was one.
         """
         self._claims = claims
@@ -109,11 +109,11 @@
     async def call(self, call: requests.ServiceCall) -> ServiceResult:
         """Makes a call.
 
-        A call with a key goes on when the caller goes away, so that its answer
-        is there for whoever sends the key again.
+        A call with a key continues when its caller disconnects, so that its
+        answer is stored for the next request with the key.
 
         Args:
-          call: what to send.
+          call: the call to send.
 
         Returns:
           The whole answer, or a failure whose verdict says whether the call
@@ -125,20 +125,20 @@
         task = asyncio.ensure_future(
             self._call_once(call, call.idempotency_key)
         )
-        self._keep(task)
+        self._track(task)
         return await asyncio.shield(task)
 
     async def drain(self) -> None:
-        """Waits until no call with a key is under way any more."""
+        """Waits until no call with a key is in flight."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     def close(self) -> None:
-        """Stops what is still under way."""
+        """Cancels the calls with a key that are in flight."""
         for task in self._tasks:
             task.cancel()
 
-    def _keep(
+    def _track(
         self, task: "asyncio.Task[ServiceResult] | asyncio.Task[None]"
     ) -> None:
         self._tasks.add(task)
@@ -157,7 +157,7 @@
         if not isinstance(outcome, result.Success):
             return result.Failure(outcome.failure())
         claim = outcome.unwrap()
-        if isinstance(claim, claim_ledger.KeptAnswer):
+        if isinstance(claim, claim_ledger.StoredAnswer):
             self.counters["replayed"] += 1
             return result.Success(claim.answer)
         return await self._use_claim(call, claim)
@@ -168,26 +168,27 @@
         attempted = await self._attempt(call)
         if isinstance(attempted, result.Success):
             answer = attempted.unwrap()
-            self._keep(
+            self._track(
                 asyncio.ensure_future(self._claims.finish(claim, answer))
             )
             return attempted
         if attempted.failure().verdict is _Verdict.NOT_RUN:
             await self._release(claim)
         else:
-            self._keep(
+            self._track(
                 asyncio.ensure_future(self._claims.finish_unknown(claim))
             )
         return attempted
 
     async def _release(self, claim: claim_ledger.Claim) -> None:
-        # The caller may send the key again at once, to another instance.
+        # Waits because the caller may send the key again at once, to another
+        # instance.
         task = asyncio.ensure_future(self._claims.release(claim))
-        self._keep(task)
+        self._track(task)
         await asyncio.wait([task], timeout=self._settings.release_wait_s)
 
     async def _attempt(self, call: requests.ServiceCall) -> ServiceResult:
-        """Attempts a call until it ends or may not be tried again."""
+        """Attempts a call until it succeeds or must not be retried."""
         backoff = relay_backoff.Backoff(self._rng, self._settings.backoff)
         failed: frozenset[str] = frozenset()
         verdict = _Verdict.NOT_RUN
@@ -211,10 +212,10 @@
     async def _send(
         self, address: str, call: requests.ServiceCall, attempt_id: str
     ) -> ServiceResult:
-        # This instance may have been paused since the call was claimed, so
-        # the clock is read right before the call goes out.
+        # The process may have been paused since the key was claimed, so the
+        # deadline is checked right before the call is sent.
         if self._timers.read_monotonic() >= call.deadline_s:
-            return result.Failure(_make_late())
+            return result.Failure(_make_deadline_exceeded())
         self.counters["attempts"] += 1
         try:
             answer = await self._client.send(address, call, attempt_id)
@@ -231,7 +232,7 @@
         number: int,
         backoff: relay_backoff.Backoff,
     ) -> bool:
-        """Says whether another attempt may be made, after its wait."""
+        """Returns whether to retry, after the wait before the retry."""
         if not relay_backoff.may_retry(failure.verdict, call.idempotent):
             return False
         if number >= self._settings.attempts:
@@ -252,11 +253,11 @@
 async def open_caller(
     caller: ServiceCaller, drain_s: float = 5.0
 ) -> AsyncIterator[ServiceCaller]:
-    """Lets a caller end its calls when the context closes.
+    """Drains and closes a caller when the context ends.
 
     Args:
-      caller: what to stop at the end.
-      drain_s: most seconds to wait for calls under way.
+      caller: the caller.
+      drain_s: longest wait for calls in flight, in seconds.
 
     Yields:
       The caller.
@@ -270,7 +271,7 @@
         caller.close()
 
 
-def _make_late() -> failures.Failure:
+def _make_deadline_exceeded() -> failures.Failure:
     return failures.Failure(
         code=_Code.DEADLINE_EXCEEDED,
         message="the deadline passed before the call was sent",
--- a/rhubarblock/relay/servicecalls_test.py
+++ b/rhubarblock/relay/servicecalls_test.py
@@ -1,4 +1,4 @@
-"""Tests of calls without a key, and of where attempts go."""
+"""Tests of retries, and of calls without an idempotency key."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class Pair:
-    """One caller before two endpoints."""
+    """One caller with two endpoints."""
 
     def __init__(self, take_retry=lambda: True):
         timers = timer_service.LoopTimers(0.0)
@@ -66,7 +66,9 @@
     ],
 )
 @pytest.mark.parametrize("key", [None, "k1"])
-def test_what_is_tried_again(fault, idempotent, seen, runs, key) -> None:
+def test_call_is_retried_only_if_a_second_run_is_safe(
+    fault, idempotent, seen, runs, key
+) -> None:
     async def main() -> None:
         pair = Pair()
         for name, value in fault.items():
@@ -98,7 +100,7 @@
     virtualloop.run(main())
 
 
-def test_no_retry_without_budget() -> None:
+def test_no_retry_when_the_retry_budget_is_exhausted() -> None:
     async def main() -> None:
         pair = Pair(take_retry=lambda: False)
         pair.endpoints["desk:1"].faults.dead = True
--- a/rhubarblock/relay/servicesapi.py
+++ b/rhubarblock/relay/servicesapi.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP to plain services: ``/v1/services/<service>/<path>``."""
+"""The callers' HTTP API of services: ``/v1/services/<service>/<path>``."""
 
 import hashlib
 from urllib import parse
@@ -20,9 +20,9 @@
 
 KEY_HEADER = "Idempotency-Key"
 REPLAYED_HEADER = "X-Idempotent-Replay"
-LONGEST_KEY = 255
+MAX_KEY_LENGTH = 255
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-# Slashes before the path below the service in ``/v1/services/<service>/``.
+# Number of slashes in ``/v1/services/<service>/``.
 _PATH_DEPTH = 4
 
 
@@ -44,7 +44,7 @@
           caller: sends calls to endpoints.
           limiter: limits of institutions and workspaces.
           lifecycle: state of this instance.
-          context: what every path reads of a call.
+          context: authentication, catalogue, clock and ids.
         """
         self._caller = caller
         self._limiter = limiter
@@ -52,11 +52,11 @@
         self._context = context
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the paths to an application."""
+        """Adds the routes to an application."""
         app.router.add_route("*", "/v1/services/{service}/{path:.*}", self.call)
 
     async def call(self, http: web.Request) -> web.StreamResponse:
-        """Answers one call to a service."""
+        """Handles one call to a service."""
         try:
             with self._lifecycle.begin_request():
                 return await self._serve(http)
@@ -98,7 +98,7 @@
         service = _find_service(
             http.match_info["service"], credential, catalogue
         )
-        deadline_s = self._context.read_deadline(http)
+        timeout_s = self._context.read_timeout(http)
         key = _read_key(http.headers.get(KEY_HEADER))
         path = _read_path(http)
         body = await http.read()
@@ -113,7 +113,7 @@
             digest=_digest_call(service.name, http.method, path, body),
             idempotent=_is_idempotent(service, http.method, path),
             idempotency_key=key,
-            deadline_s=self._context.timers.read_monotonic() + deadline_s,
+            deadline_s=self._context.timers.read_monotonic() + timeout_s,
             content_type=http.headers.get("Content-Type", "application/json"),
         )
 
@@ -123,7 +123,11 @@
     credential: catalogues.Credential,
     catalogue: catalogues.Catalogue,
 ) -> catalogues.Service:
-    """Returns a service that a caller may use."""
+    """Returns a service that a caller may use.
+
+    Raises:
+      failures.FailureError: UNKNOWN_WORKSPACE or UNKNOWN_SERVICE; NOT_RUN.
+    """
     workspace = callers.find_workspace(credential, catalogue)
     service = catalogue.services.get(name)
     plain = (
@@ -141,26 +145,26 @@
 def _read_key(key: str | None) -> str | None:
     """Returns the idempotency key of a call, if it has one.
 
-    The key goes on in a header and into the platform, so it must be the same
-    text everywhere.
+    Only printable ASCII is allowed, because the key is sent on in a header and
+    identifies the stored claim, and must be the same text in both.
     """
     if key is None:
         return None
     printable = key.isascii() and key.isprintable()
-    if not printable or not 0 < len(key) <= LONGEST_KEY:
+    if not printable or not 0 < len(key) <= MAX_KEY_LENGTH:
         raise apierrors.make_rejection(
             failures.FailureCode.BAD_REQUEST,
-            f"{KEY_HEADER} must have 1 to {LONGEST_KEY} printable ASCII "
+            f"{KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} printable ASCII "
             "characters",
         )
     return key
 
 
 def _read_path(http: web.Request) -> str:
-    """Returns path and query below the service, still escaped.
+    """Returns path and query below the service, still percent-encoded.
 
-    Dot segments are refused: who resolves them would run another path than
-    the one that was looked up in ``idempotent_paths``.
+    Dot segments are refused: a service that resolves them would run another
+    path than the one that was looked up in ``idempotent_paths``.
     """
     path = "/" + http.rel_url.raw_path.split("/", _PATH_DEPTH)[_PATH_DEPTH]
     segments = parse.unquote(path).split("/")
--- a/rhubarblock/relay/sink.py
+++ b/rhubarblock/relay/sink.py
@@ -1,4 +1,4 @@
-"""Where the pieces of an answer go."""
+"""Destinations of the chunks of an answer."""
 
 import abc
 
@@ -6,15 +6,15 @@
 
 
 class Sink(abc.ABC):
-    """Takes the pieces of one answer in order."""
+    """Receives the chunks of one answer in order."""
 
     @abc.abstractmethod
     async def write(self, chunk: attempts.Chunk) -> None:
-        """Takes one piece; waits while the caller reads slowly."""
+        """Writes one chunk; blocks while the caller reads slowly."""
 
 
 class MemorySink(Sink):
-    """Keeps the whole answer, for callers that do not want a stream."""
+    """Buffers the whole answer, for callers that do not stream."""
 
     __slots__ = ("chunks",)
 
@@ -25,5 +25,5 @@
         self.chunks.append(chunk)
 
     def join_text(self) -> str:
-        """Returns the text of all pieces together."""
+        """Returns the text of all chunks."""
         return "".join(chunk.text for chunk in self.chunks)
--- a/rhubarblock/relay/stalls.py
+++ b/rhubarblock/relay/stalls.py
@@ -1,7 +1,7 @@
-"""Breaks off attempts that make no progress.
+"""Aborts attempts that make no progress.
 
-One tick looks at all running attempts, which is cheaper than a timer that is
-set anew for each token.
+One periodic check covers all running attempts, which is cheaper than a timer
+that is reset for each token.
 """
 
 import asyncio
@@ -13,74 +13,85 @@
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds between two looks at the running attempts.
+# Seconds between two checks of the running attempts.
 CHECK_INTERVAL_S = 0.25
 
 
-class Watch:
+class ProgressWatch:
     """Progress of one attempt.
 
     Attributes:
-      awaits_engine: whether it is the engine's turn; while the caller takes in
-        a piece, however slowly, no time counts.
-      stalled: whether the attempt was broken off.
+      awaits_engine: whether the attempt waits for the engine. While it waits
+        for the caller to read a chunk, no stall is counted.
+      stalled: whether the attempt was aborted.
     """
 
     __slots__ = (
-        "_limit",
-        "_patience_s",
-        "_progress_s",
+        "_last_progress_s",
+        "_timeout",
+        "_timeout_s",
         "awaits_engine",
         "stalled",
     )
 
-    def __init__(self, limit: asyncio.Timeout, now_s: float, patience_s: float):
-        self._limit = limit
-        self._progress_s = now_s
-        self._patience_s = patience_s
+    def __init__(
+        self, timeout: asyncio.Timeout, now_s: float, timeout_s: float
+    ):
+        self._timeout = timeout
+        self._last_progress_s = now_s
+        self._timeout_s = timeout_s
         self.awaits_engine = True
         self.stalled = False
 
-    def note_progress(self, now_s: float, patience_s: float) -> None:
-        """Starts the patience anew, from the present time."""
-        self._progress_s = now_s
-        self._patience_s = patience_s
+    def note_progress(self, now_s: float, timeout_s: float) -> None:
+        """Restarts the timeout.
+
+        Args:
+          now_s: monotonic time.
+          timeout_s: seconds until the next progress is due.
+        """
+        self._last_progress_s = now_s
+        self._timeout_s = timeout_s
         self.awaits_engine = True
 
     def check(self, now_s: float) -> None:
-        """Breaks the attempt off when its patience is over."""
+        """Aborts the attempt if its timeout has passed."""
         if self.stalled or not self.awaits_engine:
             return
-        if now_s - self._progress_s > self._patience_s:
+        if now_s - self._last_progress_s > self._timeout_s:
             self.stalled = True
-            self._limit.reschedule(now_s)
+            self._timeout.reschedule(now_s)
 
 
 class StallDetector:
-    """All running attempts of one instance."""
+    """Detects stalls among the running attempts of one instance."""
 
     __slots__ = ("_timers", "_watches")
 
     def __init__(self, timers: timer_service.Timers):
         self._timers = timers
-        self._watches: set[Watch] = set()
+        self._watches: set[ProgressWatch] = set()
 
     @contextlib.asynccontextmanager
-    async def guard(self, patience_s: float) -> AsyncIterator[Watch]:
-        """Breaks the enclosed code off when it makes no progress.
+    async def watch_progress(
+        self, timeout_s: float
+    ) -> AsyncIterator[ProgressWatch]:
+        """Aborts the enclosed code if it makes no progress.
 
         Args:
-          patience_s: seconds without progress that are let pass.
+          timeout_s: longest time without progress, in seconds.
 
         Yields:
-          The watch to note progress on.
+          The object on which to note progress.
 
         Raises:
           failures.FailureError: ENDPOINT_FAILED, MAY_HAVE_RUN, on a stall.
         """
         try:
-            async with asyncio.timeout(None) as limit:
-                watch = Watch(limit, self._timers.read_monotonic(), patience_s)
+            async with asyncio.timeout(None) as timeout:
+                watch = ProgressWatch(
+                    timeout, self._timers.read_monotonic(), timeout_s
+                )
                 self._watches.add(watch)
                 try:
                     yield watch
@@ -98,7 +109,7 @@
             ) from None
 
     async def check(self) -> None:
-        """Looks at all running attempts; a tick of the timer service."""
+        """Checks all running attempts; called by the timer service."""
         now_s = self._timers.read_monotonic()
         for watch in list(self._watches):
             watch.check(now_s)
@@ -108,6 +119,6 @@
 def run_stall_detector(
     stalls: StallDetector, timers: timer_service.Timers
 ) -> Iterator[None]:
-    """Checks regularly while the context is open."""
+    """Runs the periodic check while the context is open."""
     with timers.subscribe(CHECK_INTERVAL_S, stalls.check):
         yield
--- a/rhubarblock/relay/tries.py
+++ b/rhubarblock/relay/tries.py
@@ -1,7 +1,9 @@
-"""One try of a prompt: permit, placement, attempts, and what its end teaches.
+"""Runs one try of a prompt: permit, placement and job.
 
-A try owns a permit while the prompt is suspected of crashing engines, and a
-grant of the pool's coordinator. Both are given back on every way out.
+A request makes one or more tries until its answer is whole. Each try places
+the prompt and runs one job at the engines of that placement. It holds a permit
+if the prompt is suspected of crashing engines, and a grant of the pool's
+coordinator; both are released however the try ends.
 """
 
 from collections.abc import Callable
@@ -28,13 +30,13 @@
 from rhubarblock.routing.placement import predictor as predictors
 from rhubarblock.routing.quarantine import gate as quarantines
 
-# Seconds between two tries to place a prompt that has no room yet.
-PLACE_INTERVAL_S = 0.05
+# Seconds between two placement requests for a prompt while no engine has room.
+PLACEMENT_RETRY_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Routing:
-    """The parts of routing that a relay uses."""
+    """The routing components that a relay uses."""
 
     admission: admissions.Admission
     queue: lanes.LaneQueues
@@ -44,11 +46,11 @@
 
 @dataclasses.dataclass(slots=True)
 class JobTimes:
-    """Moments of one job, in monotonic seconds.
+    """Times of one job, in monotonic seconds.
 
     Attributes:
-      sent_s: when it was sent.
-      first_token_s: when its first token came; 0 before.
+      sent_s: when the job was sent.
+      first_token_s: when its first token arrived; 0 before.
     """
 
     sent_s: float
@@ -56,7 +58,7 @@
 
 
 class SuspectedError(Exception):
-    """A prompt came under suspicion while it waited for room."""
+    """A prompt became suspect while it waited for a placement."""
 
 
 class TryRunner:
@@ -89,7 +91,7 @@
           routing: admission, queue, placement and prediction.
           runner: runs placements at the engines.
           guard: limits and quarantine.
-          find_service: gives the engine service of a model name.
+          find_service: returns the engine service of a model name.
           timers: timer service.
           metrics: counters.
         """
@@ -106,25 +108,29 @@
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.DispatchPermit,
+        dispatch_permit: fairqueue.DispatchPermit,
     ) -> completions.Completion:
-        """Runs a prompt once, from where its caller has the answer.
+        """Runs a prompt once, from the first token that its caller lacks.
 
         Args:
           request: a prompt that was admitted.
-          cursor: place in the answer.
-          history: what happened to the request so far.
-          turn: its room in the queue's window.
+          cursor: position in the answer.
+          history: the jobs of the request so far.
+          dispatch_permit: its slot in the queue's window, released at the first
+            token.
 
         Raises:
-          runners.AttemptError: it failed at an engine.
-          failures.FailureError: it was not tried and is not to be.
+          runners.AttemptError: the job failed at an engine.
+          failures.FailureError: the prompt was not sent and must not be
+            retried.
         """
         while True:
             try:
-                return await self._run_permitted(request, cursor, history, turn)
+                return await self._run_permitted(
+                    request, cursor, history, dispatch_permit
+                )
             except SuspectedError:
-                # Nothing was sent; it needs a permit now.
+                # Nothing was sent. The next round acquires a permit.
                 self._metrics.count("relay.suspected_while_waiting")
 
     async def _run_permitted(
@@ -132,7 +138,7 @@
         request: requests.PromptRequest,
         cursor: cursors.AnswerCursor,
         history: retries.History,
-        turn: fairqueue.DispatchPermit,
+        dispatch_permit: fairqueue.DispatchPermit,
     ) -> completions.Completion:
         grant_id = f"{request.request_id}/{history.attempts}"
         query = self._make_query(request, cursor, history)
@@ -155,7 +161,7 @@
                     self._owner,
                     cursor,
                     self._make_prefill_hook(
-                        grant_id, cursor, turn, times, permit
+                        grant_id, cursor, dispatch_permit, times, permit
                     ),
                 )
                 history.sent = True
@@ -174,10 +180,10 @@
     def _check_suspicion(
         self, digest: str, permit: quarantines.Permit | None
     ) -> None:
-        """Looks again, right before anything is sent.
+        """Checks the quarantine again right before anything is sent.
 
-        A prompt may have waited for room for seconds, in which other copies of
-        it crashed engines.
+        Other copies of the prompt may have crashed engines while this one
+        waited for a placement.
         """
         if self._guard.is_suspected(digest) and permit is None:
             raise SuspectedError
@@ -187,10 +193,10 @@
         request: requests.PromptRequest,
         placement: placements.Placement,
     ) -> None:
-        """Refuses a prompt that the wait at its engine makes late.
+        """Rejects a prompt whose wait at its engine would miss the deadline.
 
-        The coordinator knows the present work of the engine, which what was
-        learned of the past can't tell. Nothing was sent yet.
+        The coordinator knows the current load of the engine; the predictor
+        knows only past requests. Nothing was sent yet.
         """
         now_s = self._timers.read_monotonic()
         checked = self._routing.admission.check_placement(
@@ -204,7 +210,7 @@
         request: requests.PromptRequest,
         query: placements.PlacementQuery,
     ) -> contextlib.AbstractAsyncContextManager[quarantines.Permit | None]:
-        """Holds the right to run, which only a suspect needs."""
+        """Holds a permit to run, which only a suspected prompt needs."""
         return self._guard.permit(
             request.digest,
             query.service,
@@ -214,13 +220,13 @@
         )
 
     async def _run_guarded(self, job: runners.Job) -> None:
-        """Runs a job and examines its failure before it is tried again."""
+        """Runs a job; checks for a crash before a failure is retried."""
         with self._guard.note_running(job.placement, job.request.digest):
             try:
                 await self._runner.run(job)
             except runners.AttemptError as error:
                 if error.failure.code is failures.FailureCode.NO_ENDPOINT:
-                    # It is not known here, so nothing was sent to it.
+                    # The endpoint is unknown here, so nothing was sent to it.
                     raise
                 address = self._runner.find_address(error.endpoint_id)
                 await self._guard.note_failure(
@@ -232,17 +238,17 @@
         self,
         grant_id: str,
         cursor: cursors.AnswerCursor,
-        turn: fairqueue.DispatchPermit,
+        dispatch_permit: fairqueue.DispatchPermit,
         times: "JobTimes",
         permit: quarantines.Permit | None,
     ) -> Callable[[], None]:
-        """Returns what is to happen once the first token is there."""
+        """Returns the function to call when the first token has arrived."""
 
         def end_prefill() -> None:
             if times.first_token_s or cursor.next_index == 0:
                 return
             times.first_token_s = self._timers.read_monotonic()
-            turn.release()
+            dispatch_permit.release()
             self._routing.placement.end_prefill(grant_id)
             self._guard.note_started(permit)
 
@@ -262,7 +268,7 @@
         deadline_s: float,
         only_endpoint: str | None,
     ) -> placements.Placement:
-        """Asks for a placement until there is room."""
+        """Requests a placement until an engine has room."""
         while True:
             placement = await self._routing.placement.place(
                 grant_id, query, only_endpoint
@@ -271,7 +277,7 @@
                 return placement
             self._metrics.count("relay.no_room")
             now_s = self._timers.read_monotonic()
-            if now_s + PLACE_INTERVAL_S >= deadline_s:
+            if now_s + PLACEMENT_RETRY_INTERVAL_S >= deadline_s:
                 raise failures.FailureError(
                     failures.Failure(
                         failures.FailureCode.NO_ENDPOINT,
@@ -279,7 +285,7 @@
                         retry_after_s=1.0,
                     )
                 )
-            await self._timers.sleep(PLACE_INTERVAL_S)
+            await self._timers.sleep(PLACEMENT_RETRY_INTERVAL_S)
 
     def _make_query(
         self,
@@ -301,7 +307,7 @@
         )
 
     def _note_success(self, job: runners.Job, times: "JobTimes") -> None:
-        """Learns from a job that gave its whole answer."""
+        """Updates predictor and guard after a job with a whole answer."""
         now_s = self._timers.read_monotonic()
         request = job.request
         predictor = self._routing.predictor
