--- a/rhubarblock/plugins/__init__.py
+++ b/rhubarblock/plugins/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that register themselves: policies, endpoint kinds."""
+"""Plug-ins that the registry finds here: placement policies."""
--- a/rhubarblock/plugins/fixed_lanes.py
+++ b/rhubarblock/plugins/fixed_lanes.py
@@ -1,7 +1,7 @@
-"""A baseline with lanes: a fixed share of the engines reads long prompts only.
+"""A baseline policy that reserves a share of the engines for long prompts.
 
-It is kept as the other side of measurements. Short prompts never meet long
-reading, and long ones starve when the mix moves.
+It exists for comparison. Short prompts never share an engine with
+long prefills, but long prompts starve when their share of the load grows.
 """
 
 from rhubarblock.core import listed as lists
@@ -13,16 +13,16 @@
 
 __plugins__ = ("FixedLanes",)
 
-# Share of the engines that is kept for long prompts, and the least length in
-# tokens of these: the ones of the first trial on the users' platform.
-KEPT_SHARE = 0.35
+# Share of the engines that is reserved for long prompts, and the length in
+# tokens above which a prompt is long: the values of the users' own first trial.
+LONG_LANE_SHARE = 0.35
 LONG_TOKENS = 20_000
-# Seconds of reading for each of which one more engine reads a long prompt.
-PART_READ_S = 0.1
+# A long prompt gets one more engine for each such time of prefill, in seconds.
+PREFILL_S_PER_PART = 0.1
 
 
 class FixedLanes(promptpolicy.PromptPolicy):
-    """Parts the engines once and for all."""
+    """Divides the engines into two fixed lanes."""
 
     plugin_name = "fixed_lanes"
 
@@ -34,16 +34,18 @@
         now_s: float,
     ) -> prompts.Choice | None:
         ordered = sorted(engines, key=lambda engine: engine.endpoint_id)
-        kept = round(KEPT_SHARE * len(ordered))
+        long_lane_size = round(LONG_LANE_SHARE * len(ordered))
         is_long = prompt.prompt_tokens > LONG_TOKENS
-        lane = ordered[:kept] if is_long else ordered[kept:]
-        count = least_requests.count_holders(prompt, model)
+        lane = ordered[:long_lane_size] if is_long else ordered[long_lane_size:]
+        count = least_requests.count_engines_needed(prompt, model)
         if is_long:
             whole_s = model.predict_prefill(prompt.prompt_tokens)
-            wanted = 1 + int(whole_s / PART_READ_S)
+            wanted = 1 + int(whole_s / PREFILL_S_PER_PART)
             most = min(partplan.MAX_PARTS, len(lane))
             count = max(count, min(wanted, most))
-        chosen = least_requests.choose_least(self._tracker, lane, model, count)
+        chosen = least_requests.choose_least_loaded(
+            self._tracker, lane, model, count
+        )
         if not chosen:
             return None
         return least_requests.make_choice(prompt, chosen, model)
--- a/rhubarblock/plugins/least_requests.py
+++ b/rhubarblock/plugins/least_requests.py
@@ -1,7 +1,7 @@
-"""The baseline for prompts: the engine with the fewest requests reads it whole.
+"""A baseline policy that sends each prompt to the engine with fewest requests.
 
-It is kept as the other side of measurements. A prompt larger than an engine is
-read in as few parts as hold it.
+It exists for comparison. A prompt that does not fit one engine is
+split over as few engines as can hold it.
 """
 
 from rhubarblock.core import listed as lists
@@ -15,7 +15,7 @@
 
 
 class LeastRequests(promptpolicy.PromptPolicy):
-    """Counts requests and nothing else."""
+    """Places prompts by the number of requests at each engine alone."""
 
     plugin_name = "least_requests"
 
@@ -26,30 +26,33 @@
         model: routes.EngineCostModel,
         now_s: float,
     ) -> prompts.Choice | None:
-        count = count_holders(prompt, model)
-        chosen = choose_least(self._tracker, engines, model, count)
+        count = count_engines_needed(prompt, model)
+        chosen = choose_least_loaded(self._tracker, engines, model, count)
         if not chosen:
             return None
         return make_choice(prompt, chosen, model)
 
 
-def count_holders(prompt: prompts.Prompt, model: routes.EngineCostModel) -> int:
-    """Returns how many engines must hold a prompt together."""
+def count_engines_needed(
+    prompt: prompts.Prompt, model: routes.EngineCostModel
+) -> int:
+    """Returns how many engines are needed to hold a prompt."""
     needed = prompt.prompt_tokens + prompt.answer_tokens
     if needed <= partplan.MEMORY_PART * model.kv_capacity_tokens:
         return 1
     return -(-needed // partplan.limit_lease(model))
 
 
-def choose_least(
+def choose_least_loaded(
     tracker: jobtracker.JobTracker,
     engines: list[lists.ListedEndpoint],
     model: routes.EngineCostModel,
     count: int,
 ) -> list[lists.ListedEndpoint]:
-    """Returns the engines with the fewest requests, the first with a slot.
+    """Returns the `count` engines with the fewest requests.
 
-    It is empty if none has a slot, or if there are too few.
+    The list is empty if there are too few engines, or if the engine with the
+    fewest requests has no free slot.
     """
     ranked = sorted(
         engines,
@@ -67,12 +70,14 @@
     engines: list[lists.ListedEndpoint],
     model: routes.EngineCostModel,
 ) -> prompts.Choice:
-    """Returns the choice that reads a prompt in even parts."""
+    """Returns the choice that splits a prompt evenly over engines."""
     count = len(engines)
     prefill_s = model.predict_prefill(prompt.prompt_tokens, count)
-    held = -(-(prompt.prompt_tokens + prompt.answer_tokens) // count)
+    tokens_per_engine = -(
+        -(prompt.prompt_tokens + prompt.answer_tokens) // count
+    )
     parts = tuple(
-        jobtracker.Part(engine.endpoint_id, prefill_s, held)
+        jobtracker.Part(engine.endpoint_id, prefill_s, tokens_per_engine)
         for engine in engines
     )
     job = jobtracker.Job(prompt.job_id, parts, prompt.pause_s)
--- a/rhubarblock/plugins/length_aware.py
+++ b/rhubarblock/plugins/length_aware.py
@@ -1,15 +1,16 @@
-"""The product's policy: placement by length, load, cache and memory.
-
-Prompts are computed on engines with the prefill role and generated on engines
-with the decode role, so that no prompt lengthens the gaps of a running answer.
-The engines' priorities let a short prompt overtake longer ones between two
-slices; in the middle and among long ones the first come goes first. A few
-engines are left to short prompts unless a longer one would wait too long
-elsewhere; how long is the deployment's weight between the two measures. A
-prompt that would fill much of a decode engine stays where it was computed, and
-one that fits no engine is spread over a group.
-
-The figures that decided are in docs/design/scheduling.md.
+"""The default policy: placement by length, load, prefix cache and memory.
+
+Prefill runs on engines with the prefill role and decode on engines with the
+decode role, so that no prefill delays the tokens of a running answer. Engine
+priorities let a short prompt overtake longer ones between two prefill slices;
+prompts of middle length, and long ones, are served first come, first served
+among themselves. A few engines are left to short prompts unless a longer one
+would wait too long elsewhere. How long is too long depends on the configured
+weight of time to first token against the slowdown of short requests. A prompt
+that would fill much of a decode engine is decoded where it was prefilled, and
+one that fits no engine is split over a group.
+
+The measurements behind these rules are in docs/design/scheduling.md.
 """
 
 from rhubarblock.core import endpoint as endpoints
@@ -20,29 +21,29 @@
 
 __plugins__ = ("LengthAwarePolicy",)
 
-# Prompts below this many tokens are short; the shortest ones go first.
+# Prompts below this many tokens are short. Among them, shorter ones go first.
 SHORT_TOKENS = 8_000
-# Prompts from here on are long.
+# Prompts from this many tokens on are long.
 LONG_TOKENS = 64_000
-# Tokens of one step of the engines' priorities among short prompts.
+# Tokens per priority level among short prompts.
 PRIORITY_TOKENS = 1_000
-# Priority of the prompts of middle length.
+# Priority of prompts of middle length.
 MIDDLE_PRIORITY = SHORT_TOKENS // PRIORITY_TOKENS
-# A prompt over this share of a decode engine's memory is not handed over.
+# A prompt over this share of a decode engine's KV cache is not handed over.
 HANDOVER_SHARE = 0.2
 # Share of the prefill engines that is left to short prompts.
 SHORT_LANE_SHARE = 0.22
-# Seconds of wait that longer prompts accept before they use those engines,
-# when all weight lies on the slowdown of short prompts.
-LANE_PATIENCE_S = 1.0
-# Mean seconds until an engine ends the slice of a longer prompt.
+# Longest extra wait elsewhere before a longer prompt uses those engines, in
+# seconds, if all weight is on the slowdown of short requests.
+MAX_LANE_WAIT_S = 1.0
+# Mean time until an engine ends the slice of a longer prompt, in seconds.
 SLICE_WAIT_S = 0.055
-# Seconds that one running answer adds to the preference order.
+# Cost of each running answer when engines are ranked, in seconds.
 DECODE_COST_S = 0.002
 
 
 class LengthAwarePolicy(policy.Policy):
-    """Places prompts by their length."""
+    """Places prompts by length, load, prefix cache and memory."""
 
     plugin_name = "length_aware"
 
@@ -76,42 +77,42 @@
         now_s: float,
     ) -> placements.Placement | None:
         workers = _list_workers(loads)
-        room = query.prompt_tokens + query.max_tokens
-        roomy = [x for x in workers if x.estimate_free_kv() >= room]
-        if not roomy:
+        needed_kv = query.prompt_tokens + query.max_tokens
+        with_room = [x for x in workers if x.estimate_free_kv() >= needed_kv]
+        if not with_room:
             return None
-        priority = rank(query.prompt_tokens)
-        work_s = query.prompt_tokens / roomy[0].prefill_rate
+        priority = compute_priority(query.prompt_tokens)
+        work_s = query.prompt_tokens / with_room[0].prefill_rate
         lane = _choose_short_lane(query, workers)
-        patience_s = LANE_PATIENCE_S * (1.0 - self.weight_ttft)
+        lane_penalty_s = MAX_LANE_WAIT_S * (1.0 - self.weight_ttft)
 
         def estimate(load: loadtable.EndpointLoad) -> float:
             cost_s = _estimate_cost(load, priority, work_s, now_s)
             name = load.endpoint.endpoint_id
             cached = table.prefixes.count_cached(name, query.prefix_blocks)
             saved_s = cached / load.prefill_rate
-            return cost_s - saved_s + (patience_s if load in lane else 0.0)
+            return cost_s - saved_s + (lane_penalty_s if load in lane else 0.0)
 
-        best = min(roomy, key=estimate)
+        best = min(with_room, key=estimate)
         name = best.endpoint.endpoint_id
         decode_id = name
         if best.role is endpoints.Role.PREFILL:
             decode_id = _choose_decode(query, loads) or name
-        before = best.estimate_backlog(priority, now_s).before
+        ahead_tokens = best.estimate_backlog(priority, now_s).before
         return placements.Placement(
             prefill_id=name,
             decode_id=decode_id,
             priority=priority,
-            expected_wait_s=before / best.prefill_rate,
+            expected_wait_s=ahead_tokens / best.prefill_rate,
         )
 
 
-def rank(prompt_tokens: int) -> int:
-    """Returns the engine priority of a prompt; smaller numbers go first.
+def compute_priority(prompt_tokens: int) -> int:
+    """Returns the engine priority of a prompt; lower numbers go first.
 
-    Short prompts go by length. Those of middle length share one priority, and
-    so do the long ones: letting each overtake all longer ones made the tail of
-    all prompts longer, and letting none overtake did so too.
+    Short prompts are ordered by length. Prompts of middle length share one
+    priority, and so do long ones: letting each overtake all longer ones raised
+    the tail latency of all prompts, and so did letting none overtake.
     """
     if prompt_tokens < SHORT_TOKENS:
         return prompt_tokens // PRIORITY_TOKENS
@@ -125,14 +126,14 @@
 ) -> list[loadtable.EndpointLoad]:
     loads = table.list_loads(query.service, query.model)
     fresh = [x for x in loads if x.endpoint.endpoint_id not in query.avoid]
-    # An endpoint that failed once is better than none at all.
+    # Failed endpoints are still used if there are no others.
     return fresh or loads
 
 
 def _list_workers(
     loads: list[loadtable.EndpointLoad],
 ) -> list[loadtable.EndpointLoad]:
-    """Returns the engines that compute prompts; all of them if none does."""
+    """Returns the engines that run prefill, or all engines if none does."""
     workers = [x for x in loads if x.role is not endpoints.Role.DECODE]
     return workers or loads
 
@@ -141,7 +142,7 @@
     query: placements.PlacementQuery,
     workers: list[loadtable.EndpointLoad],
 ) -> list[loadtable.EndpointLoad]:
-    """Returns the engines that a prompt of this length leaves to others."""
+    """Returns the engines that this prompt should leave to short ones."""
     if query.prompt_tokens < SHORT_TOKENS:
         return []
     return workers[: round(len(workers) * SHORT_LANE_SHARE)]
@@ -150,19 +151,25 @@
 def _place_group(
     query: placements.PlacementQuery, workers: list[loadtable.EndpointLoad]
 ) -> placements.Placement | None:
-    """Spreads a prompt over the engines with the most room.
+    """Splits a prompt over the engines with the most free KV cache.
 
-    What the preferred engines can't hold together all of them may, those of
-    the decode role and those that failed before included.
+    Callers try the preferred engines first. If these can't hold the prompt
+    together, they try all engines, including those with the decode role and
+    those that failed before.
     """
-    roomy = sorted(workers, key=lambda x: -x.estimate_free_kv())
-    return segments.split_prompt(query, roomy, rank(query.prompt_tokens))
+    with_room = sorted(workers, key=lambda x: -x.estimate_free_kv())
+    return segments.split_prompt(
+        query, with_room, compute_priority(query.prompt_tokens)
+    )
 
 
 def _estimate_cost(
     load: loadtable.EndpointLoad, priority: int, work_s: float, now_s: float
 ) -> float:
-    """Returns seconds that this prompt waits and that it makes others wait."""
+    """Returns the wait of this prompt and the delay that it causes others.
+
+    Both are in seconds and added up.
+    """
     backlog = load.estimate_backlog(priority, now_s)
     wait_s = backlog.before / load.prefill_rate
     if backlog.behind and not backlog.before:
@@ -174,14 +181,17 @@
 def _choose_decode(
     query: placements.PlacementQuery, loads: list[loadtable.EndpointLoad]
 ) -> str | None:
-    """Returns the decode engine with the fewest answers, if one has room."""
-    room = query.prompt_tokens + query.max_tokens
+    """Returns the decode engine with the fewest answers, or None.
+
+    Only engines with room are considered.
+    """
+    needed_kv = query.prompt_tokens + query.max_tokens
     decoders = [
         x
         for x in loads
         if x.role is endpoints.Role.DECODE
-        and room <= x.kv_capacity * HANDOVER_SHARE
-        and room <= x.estimate_free_kv()
+        and needed_kv <= x.kv_capacity * HANDOVER_SHARE
+        and needed_kv <= x.estimate_free_kv()
     ]
     if not decoders:
         return None
--- a/rhubarblock/plugins/naive.py
+++ b/rhubarblock/plugins/naive.py
@@ -1,8 +1,8 @@
-"""The baseline policy: least outstanding requests, first come first served.
+"""The baseline policy: least outstanding requests, first come, first served.
 
-It knows nothing of lengths, roles, caches or load reports and counts only what
-this instance sent itself. It is kept for ever, as the other side of the
-differential tests and of every measurement.
+It ignores lengths, roles, caches and load reports, and counts only the requests
+of this instance. It must stay as it is: differential tests and measurements
+compare other policies with it.
 """
 
 from rhubarblock.routing.placement import decision as placements
--- a/rhubarblock/plugins/parted.py
+++ b/rhubarblock/plugins/parted.py
@@ -1,4 +1,4 @@
-"""Prompts placed, and parted, by what the next passes of engines will last."""
+"""The policy that places and splits prompts by the predicted engine steps."""
 
 from rhubarblock.routing.placement import parting
 
--- a/rhubarblock/plugins/parted_at_once.py
+++ b/rhubarblock/plugins/parted_at_once.py
@@ -1,7 +1,7 @@
-"""The product's placement without later starts.
+"""The default placement without deferred starts.
 
-It is kept as the other side of measurements: what it loses is what waiting in
-the instance gains.
+It exists for comparison in benchmarks: the difference shows what deferring
+prompts in the instance gains.
 """
 
 from rhubarblock.core import route as routes
@@ -12,7 +12,7 @@
 
 
 class PartedAtOnce(parting.Parter):
-    """Places each prompt the moment that it arrives."""
+    """Places each prompt when it arrives and never defers it."""
 
     plugin_name = "parted_at_once"
 
