--- a/rhubarblock/routing/__init__.py
+++ b/rhubarblock/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Admission, queues, limits, choice of endpoint, memory."""
+"""Admission control, queues, rate limits, endpoint selection and placement."""
--- a/rhubarblock/routing/admission_test.py
+++ b/rhubarblock/routing/admission_test.py
@@ -1,4 +1,4 @@
-"""Predicted times, and admission by them."""
+"""Tests of the predicted durations and of admission by them."""
 
 import pytest
 from returns import result
@@ -30,7 +30,7 @@
         predictor.observe_decode("reader", 99, ratio * 0.99)
 
 
-def test_prediction_follows_what_is_observed_and_its_spread():
+def test_prediction_follows_the_observed_mean_and_deviation():
     predictor = predictors.Predictor()
     first = predictor.bound_total("reader", 36_000, 100)
     observe(predictor, 3.0, 200)
@@ -46,7 +46,7 @@
     assert spread == pytest.approx(9.0 * nominal, rel=0.05)
 
 
-def test_models_are_learned_apart_and_one_token_teaches_no_gap():
+def test_models_are_predicted_apart_and_a_single_token_is_ignored():
     predictor = predictors.Predictor()
     before = predictor.bound_total("other", 1_000, 10)
     observe(predictor, 9.0, 50)
@@ -68,7 +68,7 @@
     )
 
 
-def test_open_admission_lets_everything_in_up_to_the_deadline():
+def test_admission_without_prediction_admits_up_to_the_deadline():
     admission = admissions.Admission(predictors.Predictor(), admits_all=True)
     assert admission.check(make_request(), 9.9, 0.0) == result.Success(10.0)
     assert isinstance(
--- a/rhubarblock/routing/cooldowns.py
+++ b/rhubarblock/routing/cooldowns.py
@@ -1,9 +1,10 @@
-"""Which endpoints asked this instance for rest, and their use after it.
+"""The cool-downs that endpoints asked this instance for, and the probe after.
 
-An endpoint that turned a request away may name a time for which it wants
-nothing from this instance; it gets nothing then, whatever else is left. After
-that one request tries it, and the others follow once it has taken one, since
-the callers of all instances would else come back to it together.
+An endpoint that refuses a request may name a time for which it wants no
+requests from this instance (Retry-After). It then gets none, even if no other
+endpoint is left. After that one request probes it, and the others follow once
+it has accepted one; otherwise the callers of all instances would return to it
+at the same moment.
 """
 
 import dataclasses
@@ -11,96 +12,97 @@
 
 from rhubarblock.kernel import metrics as metric_store
 
-# Seconds for which one request tries an endpoint after its rest before another
-# one may.
-TRIAL_S = 1.0
-# Seconds after a rest for which an endpoint that nobody tried is remembered.
-KEPT_S = 60.0
+# Seconds for which one request probes an endpoint after its cool-down before
+# another one may.
+PROBE_S = 1.0
+# Seconds after a cool-down for which an endpoint that was not probed is
+# remembered.
+RETENTION_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Rest:
-    """A rest that lasts, or ended and was not followed by a good answer.
+class _Cooldown:
+    """A cool-down that is in force, or is over and awaits a successful probe.
 
     Attributes:
       until_s: its end, in monotonic seconds.
-      trial_until_s: until when a request tries the endpoint, in monotonic
+      probe_until_s: until when a request probes the endpoint, in monotonic
         seconds.
     """
 
     until_s: float
-    trial_until_s: float = -math.inf
+    probe_until_s: float = -math.inf
 
 
 class Cooldowns:
-    """The rests that endpoints asked of one instance."""
+    """The cool-downs that endpoints asked one instance for."""
 
-    __slots__ = ("_metrics", "_rests")
+    __slots__ = ("_cooldowns", "_metrics")
 
     def __init__(self, metrics: metric_store.Metrics):
-        """Starts with none.
+        """Starts without any cool-down.
 
         Args:
-          metrics: counts the rests.
+          metrics: counts the cool-downs.
         """
-        self._rests: dict[str, _Rest] = {}
+        self._cooldowns: dict[str, _Cooldown] = {}
         self._metrics = metrics
 
     def __bool__(self) -> bool:
-        return bool(self._rests)
+        return bool(self._cooldowns)
 
     def note(self, endpoint_id: str, length_s: float, now_s: float) -> None:
-        """Takes in that an endpoint wants nothing for a time.
+        """Records that an endpoint wants no requests for a time.
 
-        A shorter time after a longer one doesn't end that.
+        A shorter cool-down does not end a longer one.
 
         Args:
           endpoint_id: the endpoint.
           length_s: seconds from now on.
-          now_s: the present moment, in monotonic seconds.
+          now_s: current time in monotonic seconds.
         """
         self._metrics.count("rests.asked")
         until_s = now_s + length_s
-        known = self._rests.get(endpoint_id)
+        known = self._cooldowns.get(endpoint_id)
         if known is None:
-            self._rests[endpoint_id] = _Rest(until_s)
+            self._cooldowns[endpoint_id] = _Cooldown(until_s)
             return
         known.until_s = max(known.until_s, until_s)
-        known.trial_until_s = -math.inf
+        known.probe_until_s = -math.inf
 
     def note_chosen(self, endpoint_id: str, now_s: float) -> None:
-        """Takes in that a request goes there; it may be the one that tries."""
-        rest = self._rests.get(endpoint_id)
-        if rest is not None:
-            rest.trial_until_s = now_s + TRIAL_S
+        """Records that a request goes there; it may be the probe."""
+        cooldown = self._cooldowns.get(endpoint_id)
+        if cooldown is not None:
+            cooldown.probe_until_s = now_s + PROBE_S
 
     def note_accepted(self, endpoint_id: str) -> None:
-        """Takes in that an endpoint took a request."""
-        rest = self._rests.get(endpoint_id)
-        if rest is not None and rest.trial_until_s > -math.inf:
-            del self._rests[endpoint_id]
+        """Records that an endpoint accepted a request."""
+        cooldown = self._cooldowns.get(endpoint_id)
+        if cooldown is not None and cooldown.probe_until_s > -math.inf:
+            del self._cooldowns[endpoint_id]
 
     def is_cooling_down(self, endpoint_id: str, now_s: float) -> bool:
-        """Says whether an endpoint must get nothing at present."""
+        """Says whether an endpoint must not get any request at present."""
         return self.find_remaining(endpoint_id, now_s) > 0.0
 
     def is_probed(self, endpoint_id: str, now_s: float) -> bool:
-        """Says whether a request tries an endpoint after its rest."""
-        rest = self._rests.get(endpoint_id)
-        return rest is not None and now_s < rest.trial_until_s
+        """Says whether a request probes an endpoint after its cool-down."""
+        cooldown = self._cooldowns.get(endpoint_id)
+        return cooldown is not None and now_s < cooldown.probe_until_s
 
     def find_remaining(self, endpoint_id: str, now_s: float) -> float:
-        """Returns the seconds that a rest still lasts, 0 without one."""
-        rest = self._rests.get(endpoint_id)
-        return max(0.0, rest.until_s - now_s) if rest else 0.0
+        """Returns the remaining seconds of a cool-down, 0 without one."""
+        cooldown = self._cooldowns.get(endpoint_id)
+        return max(0.0, cooldown.until_s - now_s) if cooldown else 0.0
 
     def forget(self, endpoint_id: str) -> None:
-        """Forgets what an earlier start of an endpoint asked for."""
-        self._rests.pop(endpoint_id, None)
+        """Forgets the cool-down of an earlier start of an endpoint."""
+        self._cooldowns.pop(endpoint_id, None)
 
     def expire(self, now_s: float) -> None:
-        """Forgets endpoints that nobody tried for long after their rest."""
-        oldest_s = now_s - KEPT_S
-        for endpoint_id, rest in list(self._rests.items()):
-            if rest.until_s < oldest_s:
-                del self._rests[endpoint_id]
+        """Forgets endpoints that nobody probed for long after a cool-down."""
+        oldest_s = now_s - RETENTION_S
+        for endpoint_id, cooldown in list(self._cooldowns.items()):
+            if cooldown.until_s < oldest_s:
+                del self._cooldowns[endpoint_id]
--- a/rhubarblock/routing/endpointlimits/__init__.py
+++ b/rhubarblock/routing/endpointlimits/__init__.py
@@ -1,6 +1,7 @@
-"""Rate limits that endpoints name for themselves, kept by all instances.
+"""Rate limits that endpoints announce, enforced across all instances.
 
-``book`` holds what endpoints said, ``schedule`` spaces the permits of one of
-them, ``coordinator`` grants them to instances, ``holding`` keeps those that
-were granted here, and ``requester`` asks for more.
+``limittable`` holds the limits that endpoints announced, ``schedule`` spaces
+the permits of one endpoint, ``coordinator`` grants permits to instances,
+``holding`` keeps the permits granted to this one, and ``requester`` asks for
+more.
 """
--- a/rhubarblock/routing/endpointlimits/coordinator_test.py
+++ b/rhubarblock/routing/endpointlimits/coordinator_test.py
@@ -1,4 +1,4 @@
-"""What a coordinator may grant of a limit."""
+"""Tests of how much of a limit a coordinator grants."""
 
 import random
 
@@ -20,12 +20,12 @@
 
 def make_coordinator(rate=RATE):
     metrics = metric_store.Metrics()
-    book = limittables.LimitTable(metrics)
-    book.note_answer("e1", ratelimits.StatedLimit(rate), 0.0, 0.0)
+    table = limittables.LimitTable(metrics)
+    table.note_answer("e1", ratelimits.StatedLimit(rate), 0.0, 0.0)
     coordinator = coordinators.PermitCoordinator(
-        book, Peers(), random.Random(1), metrics
+        table, Peers(), random.Random(1), metrics
     )
-    return book, coordinator
+    return table, coordinator
 
 
 def ask(coordinator, peer, now_s, wanted=0, free_in_s=0.0):
@@ -35,7 +35,7 @@
 
 
 def count_granted(coordinator, peers, from_s, until_s):
-    """Returns what is granted to one of some peers that all ask."""
+    """Returns the permits a second granted to peers that all ask."""
     granted = 0
     for step in range(int(10 * from_s), int(10 * until_s)):
         for peer in peers:
@@ -44,23 +44,23 @@
     return granted / (until_s - from_s)
 
 
-def test_all_of_a_limit_is_granted_where_everybody_asks():
+def test_whole_limit_is_granted_when_all_users_ask():
     _, coordinator = make_coordinator()
     peers = [f"p{n}" for n in range(USERS)]
     assert 7.5 <= count_granted(coordinator, peers, 0.0, 10.0) <= 9.0
 
 
-def test_only_the_shares_that_are_pledged_are_granted():
+def test_only_pledged_shares_are_granted():
     _, coordinator = make_coordinator()
     assert 1.9 <= count_granted(coordinator, ["p1"], 0.0, 10.0) <= 2.3
 
 
-def test_pledge_lapses_and_one_that_is_not_free_yet_does_not_count():
+def test_pledges_expire_and_count_only_once_they_are_free():
     _, coordinator = make_coordinator()
     ask(coordinator, "p1", 0.0)
     ask(coordinator, "p2", 0.0, free_in_s=3.0)
-    shared = coordinator._shared["e1"]
-    counts = [shared.count_pledged(at_s) for at_s in (0.0, 2.9, 3.0, 7.9, 8.0)]
+    state = coordinator._states["e1"]
+    counts = [state.count_pledged(at_s) for at_s in (0.0, 2.9, 3.0, 7.9, 8.0)]
     assert counts == [1, 1, 2, 2, 0]
 
 
@@ -70,7 +70,7 @@
     assert (grant.count, grant.retry_after_s) == (0, 3.0)
 
 
-def test_those_that_get_nothing_do_not_ask_again_together():
+def test_peers_without_a_permit_retry_at_different_times():
     _, coordinator = make_coordinator(1.0)
     peers = [f"p{n}" for n in range(USERS)]
     grants = [ask(coordinator, peer, 0.0, 1) for peer in peers]
@@ -78,13 +78,13 @@
     assert len(set(again)) == len(again) >= 2
 
 
-def test_endpoint_that_takes_nothing_is_still_tried():
+def test_endpoint_with_a_limit_of_zero_is_still_tried():
     _, coordinator = make_coordinator(0.0)
     peers = [f"p{n}" for n in range(USERS)]
     assert 0.08 <= count_granted(coordinator, peers, 0.0, 60.0) <= 0.12
 
 
 def test_limit_that_ended_grants_nothing():
-    book, coordinator = make_coordinator()
-    book.note_answer("e1", ratelimits.NO_STATED_LIMIT, 1.0, 2.0)
+    table, coordinator = make_coordinator()
+    table.note_answer("e1", ratelimits.NO_STATED_LIMIT, 1.0, 2.0)
     assert ask(coordinator, "p1", 3.0, 1) is None
--- a/rhubarblock/routing/endpointlimits/holding.py
+++ b/rhubarblock/routing/endpointlimits/holding.py
@@ -4,23 +4,25 @@
 
 from rhubarblock.routing.endpointlimits import messages
 
-# Seconds after its moment for which a permit may be used. Permits that lie
-# unused for long would come on top of those that are granted meanwhile.
-VALID_S = 0.5
+# Seconds for which a permit stays valid. Permits that stay unused for longer
+# would add to those that are granted meanwhile and exceed the limit.
+PERMIT_TTL_S = 0.5
 
 
 class HeldPermits:
-    """Moments from which permits hold, by endpoint."""
+    """The times from which permits are valid, by endpoint."""
 
-    __slots__ = ("_from_s",)
+    __slots__ = ("_valid_from_s",)
 
     def __init__(self) -> None:
-        """Starts with none."""
-        self._from_s: dict[str, collections.deque[float]] = {}
+        """Starts without permits."""
+        self._valid_from_s: dict[str, collections.deque[float]] = {}
 
     def add(self, grant: messages.PermitGrant, now_s: float) -> None:
-        """Takes in a grant that came at a moment in monotonic seconds."""
-        held = self._from_s.setdefault(grant.endpoint_id, collections.deque())
+        """Adds a grant that arrived at a time in monotonic seconds."""
+        held = self._valid_from_s.setdefault(
+            grant.endpoint_id, collections.deque()
+        )
         held.extend(
             now_s + grant.delay_s + number * grant.spacing_s
             for number in range(grant.count)
@@ -32,29 +34,29 @@
         return bool(held) and held[0] <= now_s
 
     def take(self, endpoint_id: str, now_s: float) -> None:
-        """Uses the oldest permit, if there is one."""
+        """Consumes the oldest permit if there is one."""
         if self.has(endpoint_id, now_s):
-            self._from_s[endpoint_id].popleft()
+            self._valid_from_s[endpoint_id].popleft()
 
     def count(self, endpoint_id: str, now_s: float) -> int:
-        """Returns how many permits are held or to come."""
+        """Returns the number of permits that are valid now or later."""
         return len(self._find_valid(endpoint_id, now_s))
 
     def predict_next(self, endpoint_id: str, now_s: float) -> float | None:
-        """Returns the seconds until the next permit; None if none is held."""
+        """Returns the seconds until the next permit, None without any."""
         held = self._find_valid(endpoint_id, now_s)
         return max(0.0, held[0] - now_s) if held else None
 
     def forget(self, endpoint_id: str) -> None:
         """Drops the permits of an endpoint."""
-        self._from_s.pop(endpoint_id, None)
+        self._valid_from_s.pop(endpoint_id, None)
 
     def _find_valid(
         self, endpoint_id: str, now_s: float
     ) -> collections.deque[float]:
-        held = self._from_s.get(endpoint_id)
+        held = self._valid_from_s.get(endpoint_id)
         if held is None:
             return collections.deque()
-        while held and held[0] + VALID_S < now_s:
+        while held and held[0] + PERMIT_TTL_S < now_s:
             held.popleft()
         return held
--- a/rhubarblock/routing/endpointlimits/limittable.py
+++ b/rhubarblock/routing/endpointlimits/limittable.py
@@ -1,10 +1,10 @@
-"""What endpoints said of their rate limits.
+"""The rate limits that endpoints announced.
 
-Answers overtake each other, and so does news from peers. An answer that was
-heard before the request of the present one was sent is older, one whose request
-was sent after the present one was heard is newer, and between the two the lower
-limit counts. That a limit ended is kept too, so that older news can't bring it
-back.
+Answers may overtake each other, and so may reports from peers. An answer that
+was received before the request of the present one was sent is older; one whose
+request was sent after the present one was received is newer; between the two,
+the lower limit applies. The end of a limit is remembered too, so that an older
+report can't restore it.
 """
 
 import dataclasses
@@ -14,9 +14,10 @@
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.routing.endpointlimits import messages
 
-# Highest limit that is kept, in requests a second; more than any endpoint runs.
-MOST_PER_S = 1e6
-# Characters of an unreadable text that a log line holds.
+# Highest limit that is kept, in requests a second; more than any endpoint
+# handles.
+MAX_PER_S = 1e6
+# Characters of an unreadable header that a log line contains.
 SHOWN_CHARACTERS = 40
 
 _logger = logging.getLogger(__name__)
@@ -24,12 +25,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Statement:
-    """What one answer of an endpoint said, on this instance's clock.
+    """The limit stated by one answer of an endpoint, on this instance's clock.
 
     Attributes:
-      per_s: requests a second from all instances; None for no limit.
+      per_s: requests a second from all instances together; None for no limit.
       sent_s: when its request was sent, in monotonic seconds.
-      heard_s: when the head of the answer came, in monotonic seconds.
+      heard_s: when the head of the answer arrived, in monotonic seconds.
     """
 
     per_s: float | None
@@ -42,10 +43,9 @@
     """A limit in force.
 
     Attributes:
-      per_s: requests a second from all instances.
-      since_s: when the endpoint was first heard to name any, in monotonic
-        seconds.
-      statement: the newest word on it.
+      per_s: requests a second from all instances together.
+      since_s: since when the endpoint has had any limit, in monotonic seconds.
+      statement: the newest statement.
     """
 
     per_s: float
@@ -62,7 +62,7 @@
         """Starts without limits.
 
         Args:
-          metrics: counts changes and what can't be read.
+          metrics: counts changes and unreadable limits.
         """
         self._limits: dict[str, Limit] = {}
         self._ended: dict[str, Statement] = {}
@@ -72,11 +72,11 @@
         return bool(self._limits)
 
     def find(self, endpoint_id: str) -> Limit | None:
-        """Returns the limit of an endpoint, None if it named none."""
+        """Returns the limit of an endpoint, None if it has none."""
         return self._limits.get(endpoint_id)
 
     def list_ids(self) -> list[str]:
-        """Returns the ids of the endpoints that named a limit."""
+        """Returns the ids of the endpoints that have a limit."""
         return list(self._limits)
 
     def note_answer(
@@ -86,14 +86,14 @@
         sent_s: float,
         now_s: float,
     ) -> bool:
-        """Takes in the head of an answer.
+        """Applies the head of an answer.
 
         Args:
           endpoint_id: the endpoint that answered.
-          stated: what its head says; the limit before holds if it can't be
-            read.
+          stated: the limit in its head; the previous limit stays in force if it
+            is unreadable.
           sent_s: when the request was sent, in monotonic seconds.
-          now_s: the present moment, in monotonic seconds.
+          now_s: current time in monotonic seconds.
 
         Returns:
           Whether the limit changed.
@@ -112,18 +112,18 @@
         return self.take(endpoint_id, statement, "answer")
 
     def take(self, endpoint_id: str, statement: Statement, source: str) -> bool:
-        """Takes in a statement, unless it may be older than the present one.
+        """Applies a statement unless it may be older than the present one.
 
         Args:
           endpoint_id: the endpoint that made it.
-          statement: what it said.
-          source: who tells of it, for the log.
+          statement: the stated limit.
+          source: where the statement comes from, for the log.
 
         Returns:
           Whether the limit changed.
         """
-        if statement.per_s is not None and statement.per_s > MOST_PER_S:
-            statement = dataclasses.replace(statement, per_s=MOST_PER_S)
+        if statement.per_s is not None and statement.per_s > MAX_PER_S:
+            statement = dataclasses.replace(statement, per_s=MAX_PER_S)
         known = self._limits.get(endpoint_id)
         last = known.statement if known else self._ended.get(endpoint_id)
         per_s = statement.per_s
@@ -133,7 +133,7 @@
             return False
         before = known.per_s if known else None
         since_s = known.since_s if known else statement.heard_s
-        self._put(endpoint_id, statement, since_s)
+        self._store(endpoint_id, statement, since_s)
         if per_s == before:
             return False
         self._metrics.count("limits.changed")
@@ -152,11 +152,11 @@
     def describe(
         self, endpoint_id: str, now_s: float
     ) -> messages.LimitReport | None:
-        """Returns what peers are told of a limit that is or was in force.
+        """Returns the report to peers of a limit that is or was in force.
 
         Args:
           endpoint_id: the endpoint.
-          now_s: the present moment, in monotonic seconds.
+          now_s: current time in monotonic seconds.
         """
         limit = self._limits.get(endpoint_id)
         last = limit.statement if limit else self._ended.get(endpoint_id)
@@ -167,7 +167,7 @@
         )
 
     def receive(self, report: messages.LimitReport, now_s: float) -> bool:
-        """Takes in what a peer tells.
+        """Applies a report from a peer.
 
         Returns:
           Whether the limit changed.
@@ -177,7 +177,7 @@
         )
         return self.take(report.endpoint_id, statement, "peer")
 
-    def _put(
+    def _store(
         self, endpoint_id: str, statement: Statement, since_s: float
     ) -> None:
         if statement.per_s is None:
@@ -188,7 +188,7 @@
         self._limits[endpoint_id] = Limit(statement.per_s, since_s, statement)
 
     def forget(self, endpoint_id: str) -> None:
-        """Forgets the limit of an endpoint that ended or started again."""
+        """Forgets the limit of an endpoint that ended or restarted."""
         self._ended.pop(endpoint_id, None)
         if self._limits.pop(endpoint_id, None) is not None:
             _logger.info(
@@ -196,13 +196,13 @@
             )
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Forgets endpoints that are not there any more."""
+        """Forgets endpoints that are no longer listed."""
         for endpoint_id in {*self._limits, *self._ended} - endpoint_ids:
             self.forget(endpoint_id)
 
 
 def _replaces(statement: Statement, last: Statement) -> bool:
-    """Says whether a statement replaces the one before."""
+    """Says whether a statement replaces the previous one."""
     if statement.sent_s >= last.heard_s:
         return True
     if statement.heard_s <= last.sent_s:
--- a/rhubarblock/routing/endpointlimits/limittable_test.py
+++ b/rhubarblock/routing/endpointlimits/limittable_test.py
@@ -1,4 +1,4 @@
-"""Which word of an endpoint on its limit counts."""
+"""Tests of which statement of an endpoint's limit applies."""
 
 import pytest
 
@@ -7,22 +7,22 @@
 from rhubarblock.routing.endpointlimits import limittable as limittables
 
 
-def make_book(*answers):
-    """Returns a book after answers of one endpoint.
+def make_table(*answers):
+    """Returns a table after some answers of one endpoint.
 
     Args:
-      answers: stated limit a second, moment of sending, moment of hearing.
+      answers: stated limit a second, time of sending, time of arrival.
     """
-    book = limittables.LimitTable(metric_store.Metrics())
+    table = limittables.LimitTable(metric_store.Metrics())
     changes = [
-        book.note_answer("e1", ratelimits.StatedLimit(per_s), sent_s, heard_s)
+        table.note_answer("e1", ratelimits.StatedLimit(per_s), sent_s, heard_s)
         for per_s, sent_s, heard_s in answers
     ]
-    return book, changes
+    return table, changes
 
 
-def find_rate(book):
-    limit = book.find("e1")
+def find_rate(table):
+    limit = table.find("e1")
     return limit.per_s if limit else None
 
 
@@ -34,39 +34,39 @@
         ([(0.0, 1.0, 2.0)], 0.0),
         # A later answer without the field ends it.
         ([(1.0, 1.0, 2.0), (None, 2.0, 3.0)], None),
-        # One to a request that was sent before the limit was heard does not.
+        # One to a request that was sent before the limit arrived does not.
         ([(1.0, 1.0, 2.0), (None, 1.5, 3.0)], 1.0),
         ([(1.0, 1.0, 2.0), (5.0, 1.5, 3.0)], 1.0),
         ([(1.0, 1.0, 2.0), (5.0, 2.5, 3.0)], 5.0),
-        # A lower one counts whenever it was asked for.
+        # A lower limit applies whenever its request was sent.
         ([(5.0, 1.0, 2.0), (1.0, 0.5, 3.0)], 1.0),
-        ([(1e300, 1.0, 2.0)], limittables.MOST_PER_S),
+        ([(1e300, 1.0, 2.0)], limittables.MAX_PER_S),
     ],
 )
-def test_newest_word_counts_and_a_lower_one_always(answers, rate):
-    book, _ = make_book(*answers)
-    assert find_rate(book) == rate
+def test_newest_statement_applies_and_a_lower_one_always(answers, rate):
+    table, _ = make_table(*answers)
+    assert find_rate(table) == rate
 
 
-def test_limit_that_cannot_be_read_leaves_the_one_before():
-    book, changes = make_book((2.0, 1.0, 2.0))
+def test_unreadable_limit_keeps_the_previous_one():
+    table, changes = make_table((2.0, 1.0, 2.0))
     bad = ratelimits.StatedLimit(unreadable="soon")
-    assert not book.note_answer("e1", bad, 3.0, 4.0)
-    assert (changes, find_rate(book)) == ([True], 2.0)
+    assert not table.note_answer("e1", bad, 3.0, 4.0)
+    assert (changes, find_rate(table)) == ([True], 2.0)
 
 
-def test_each_change_writes_one_line(caplog):
+def test_each_change_is_logged_once(caplog):
     with caplog.at_level("INFO", logger="rhubarblock"):
-        make_book((2.0, 1.0, 2.0), (2.0, 2.0, 3.0), (None, 3.0, 4.0))
+        make_table((2.0, 1.0, 2.0), (2.0, 2.0, 3.0), (None, 3.0, 4.0))
     lines = [
         (r.before_per_s, r.after_per_s, r.named_for_s) for r in caplog.records
     ]
     assert lines == [(None, 2.0, 0.0), (2.0, None, 2.0)]
 
 
-def test_endpoint_that_is_gone_is_forgotten():
-    book, _ = make_book((2.0, 1.0, 2.0))
-    book.keep_only({"e1"})
-    assert book
-    book.keep_only({"e2"})
-    assert not book
+def test_unlisted_endpoint_is_forgotten():
+    table, _ = make_table((2.0, 1.0, 2.0))
+    table.keep_only({"e1"})
+    assert table
+    table.keep_only({"e2"})
+    assert not table
--- a/rhubarblock/routing/endpointlimits/messages.py
+++ b/rhubarblock/routing/endpointlimits/messages.py
@@ -1,6 +1,6 @@
-"""What instances tell each other of endpoints' rate limits.
+"""Messages between instances about the rate limits of endpoints.
 
-Moments travel as ages, since no two instances share a clock.
+Times are sent as ages, as instances have no common clock.
 """
 
 import dataclasses
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LimitReport:
-    """What an endpoint said of its limit.
+    """The limit that an endpoint stated.
 
     Attributes:
       endpoint_id: the endpoint.
-      per_s: requests a second from all instances; None for no limit.
-      sent_age_s: seconds since the request was sent that it answered.
-      heard_age_s: seconds since the answer was heard.
+      per_s: requests a second from all instances together; None for no limit.
+      sent_age_s: seconds since the request was sent that the endpoint answered.
+      heard_age_s: seconds since the answer arrived.
     """
 
     endpoint_id: str
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PermitRequest:
-    """Pledges an instance's share of a limit, and asks for permits.
+    """Pledges an instance's share of a limit and asks for permits.
 
     Attributes:
-      report: what the asker knows of the limit.
-      wanted: permits that it could use at once; none only pledges.
+      report: the limit as the requester knows it.
+      wanted: number of permits that it could use now; 0 only pledges.
       free_in_s: seconds until its share is free of an earlier pledge.
-      within_s: seconds within which a permit must come to be of use.
+      within_s: seconds after which a permit would be too late.
     """
 
     report: LimitReport
@@ -46,10 +46,10 @@
 
     Attributes:
       endpoint_id: the endpoint.
-      count: how many.
+      count: number of permits.
       delay_s: seconds until the first one may be used.
       spacing_s: seconds from each one to the next.
-      retry_after_s: seconds after which more may be asked for.
+      retry_after_s: seconds after which more may be requested.
     """
 
     endpoint_id: str
--- a/rhubarblock/routing/endpointlimits/peers.py
+++ b/rhubarblock/routing/endpointlimits/peers.py
@@ -1,4 +1,4 @@
-"""The other instances, as the limits of endpoints need them."""
+"""Interface to the peers for the rate limits of endpoints."""
 
 import abc
 
@@ -9,11 +9,11 @@
 
 
 class LimitPeers(abc.ABC):
-    """Tells peers of limits and carries permits; any message may be lost."""
+    """Sends limits, permit requests and grants; any message may be lost."""
 
     @abc.abstractmethod
     def count_users(self, endpoint_id: str) -> int:
-        """Returns how many instances use an endpoint, this one included."""
+        """Counts the instances that use an endpoint, including this one."""
 
     @abc.abstractmethod
     def choose_coordinator(self, endpoint_id: str, silent: set[str]) -> str:
@@ -23,21 +23,21 @@
 
         Args:
           endpoint_id: the endpoint.
-          silent: peers that are not chosen, as they give no answer.
+          silent: peers that are not chosen because they don't answer.
         """
 
     @abc.abstractmethod
     def send_request(self, peer: str, request: messages.PermitRequest) -> None:
-        """Asks a peer for permits."""
+        """Sends a permit request to a peer."""
 
     @abc.abstractmethod
     def send_grant(self, peer: str, grant: messages.PermitGrant) -> None:
-        """Answers a peer's request."""
+        """Answers the permit request of a peer."""
 
     @abc.abstractmethod
     def send_report(self, peer: str, report: messages.LimitReport) -> None:
-        """Tells one peer what an endpoint said."""
+        """Sends a limit to one peer."""
 
     @abc.abstractmethod
     def broadcast_report(self, report: messages.LimitReport) -> None:
-        """Tells all peers that use an endpoint what it said."""
+        """Sends a limit to all peers that use the endpoint."""
--- a/rhubarblock/routing/endpointlimits/schedule.py
+++ b/rhubarblock/routing/endpointlimits/schedule.py
@@ -2,24 +2,24 @@
 
 import dataclasses
 
-# Longest seconds ahead for which a permit is granted.
+# Longest time ahead for which a permit is granted, in seconds.
 HORIZON_S = 0.6
-# Seconds of the rate that may be saved up while nobody asks, one permit at
-# least, so that requests which come together needn't be spread.
-SAVED_S = 0.05
-# Part of a permit that rounding may lack.
+# Seconds of the rate that may accumulate while no permits are requested, but at
+# least one permit, so that requests that arrive together needn't be spread.
+BURST_S = 0.05
+# Part of a permit that may be missing due to rounding.
 _ROUNDING = 1e-9
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Slots:
-    """Moments at which permits may be used.
+    """Times at which permits may be used.
 
     Attributes:
-      count: how many there are.
+      count: number of permits.
       delay_s: seconds until the first one.
       spacing_s: seconds from each one to the next.
-      retry_after_s: seconds until the next one can be booked.
+      retry_after_s: seconds until the next one can be reserved.
     """
 
     count: int
@@ -29,41 +29,41 @@
 
 
 class PermitSchedule:
-    """A bucket of permits that may be booked a little ahead."""
+    """A token bucket of permits that may be reserved a little ahead."""
 
     __slots__ = ("_level", "_settled_s")
 
     def __init__(self, now_s: float):
-        """Starts empty, as nothing is known of permits granted elsewhere."""
+        """Starts empty, as permits may have been granted elsewhere."""
         self._level = 0.0
         self._settled_s = now_s
 
-    def book(
+    def reserve(
         self,
         wanted: int,
         rate: float,
         now_s: float,
         within_s: float = HORIZON_S,
     ) -> Slots:
-        """Books the next permits.
+        """Reserves the next permits.
 
         Args:
-          wanted: how many at most.
+          wanted: largest number of permits.
           rate: permits a second, above 0.
-          now_s: the present moment, in monotonic seconds.
-          within_s: longest seconds until the last of them.
+          now_s: current time in monotonic seconds.
+          within_s: longest time until the last of them, in seconds.
         """
         self._settle(rate, now_s)
         ahead_s = min(HORIZON_S, within_s)
-        bookable = self._level + ahead_s * rate + _ROUNDING
-        count = max(0, min(wanted, int(bookable)))
+        available = self._level + ahead_s * rate + _ROUNDING
+        count = max(0, min(wanted, int(available)))
         delay_s = max(0.0, (1.0 - self._level) / rate)
         self._level -= count
         retry_after_s = max(0.0, (1.0 - self._level) / rate - HORIZON_S)
         return Slots(count, delay_s, 1.0 / rate, retry_after_s)
 
     def _settle(self, rate: float, now_s: float) -> None:
-        saved = max(1.0, SAVED_S * rate)
+        burst = max(1.0, BURST_S * rate)
         grown = self._level + rate * max(0.0, now_s - self._settled_s)
-        self._level = min(saved, grown)
+        self._level = min(burst, grown)
         self._settled_s = now_s
--- a/rhubarblock/routing/fairqueue.py
+++ b/rhubarblock/routing/fairqueue.py
@@ -1,10 +1,11 @@
-"""The queue of an instance: weighted fair by tokens, by slack within a flow.
+"""The queue of an instance: weighted fair queueing by tokens.
 
 A flow is one class of one workspace of one institution. Each flow has a start
-tag that grows by tokens over weight; the flow with the smallest tag goes next
-(start-time fair queueing), so a flow with long prompts cannot starve one with
-short ones, nor the other way round. The window bounds the prompt tokens that
-are out at the engines and not yet computed; while it is open nobody waits.
+tag that grows by tokens over weight, and the flow with the smallest tag goes
+next (start-time fair queueing), so a flow with long prompts cannot starve one
+with short prompts, nor the reverse. Within a flow the request with the least
+slack goes first. The window bounds the prompt tokens that are dispatched to the
+engines and not computed yet; requests wait only while it is full.
 """
 
 import asyncio
@@ -17,11 +18,12 @@
 from rhubarblock.core import failure as failures
 from rhubarblock.core import request as requests
 
-# The window holds what the engines compute for an instance in this time.
+# The window holds what the engines compute for an instance in this time, in
+# seconds.
 WINDOW_S = 2.0
-# Most tokens that one prompt takes of the window. Engines compute a long prompt
-# in slices behind shorter ones, so it must not close the window for them.
-MOST_WINDOW_TOKENS = 32_000
+# Most tokens of the window that one prompt uses. Engines compute a long prompt
+# in chunks behind shorter ones, so it must not fill the window for them.
+MAX_WINDOW_TOKENS = 32_000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -29,8 +31,8 @@
     """Bounds of the queue.
 
     Attributes:
-      entries: most requests that wait.
-      queued_bytes: most bytes of bodies that wait.
+      entries: most requests that may wait.
+      queued_bytes: most bytes of bodies that may wait.
     """
 
     entries: int = 2_000
@@ -39,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True, order=True)
 class _Waiter:
-    """One waiting request; the heap of a flow orders by slack."""
+    """A waiting request; the heap of a flow orders waiters by slack."""
 
     latest_start_s: float
     order: int
     request: requests.PromptRequest = dataclasses.field(compare=False)
-    admitted: asyncio.Future[None] = dataclasses.field(compare=False)
-    is_out: bool = dataclasses.field(default=False, compare=False)
+    dispatched: asyncio.Future[None] = dataclasses.field(compare=False)
+    is_dispatched: bool = dataclasses.field(default=False, compare=False)
 
 
 @dataclasses.dataclass(slots=True)
@@ -58,7 +60,7 @@
 
 
 class DispatchPermit:
-    """The right of one request to be out at the engines."""
+    """The right of one request to be dispatched; it holds window tokens."""
 
     __slots__ = ("_queue", "_tokens")
 
@@ -67,22 +69,22 @@
         self._tokens = tokens
 
     def release(self) -> None:
-        """Gives the room back, at the first token or at the end."""
+        """Returns the window tokens, at the first token or at the end."""
         tokens, self._tokens = self._tokens, 0
         if tokens:
-            self._queue.give_back(tokens)
+            self._queue.return_tokens(tokens)
 
 
 class FairQueue:
-    """Lets requests out to the engines in a fair order."""
+    """Dispatches requests to the engines in a fair order."""
 
     __slots__ = (
         "_bytes",
+        "_dispatched_tokens",
         "_flows",
         "_order",
-        "_out_tokens",
         "_settings",
-        "_virtual",
+        "_virtual_time",
         "_waiting",
         "_waiting_tokens",
         "_weigh",
@@ -99,30 +101,30 @@
 
         Args:
           settings: bounds.
-          weigh: gives the weight of a request's flow, above 0.
-          window: gives the prompt tokens that may be out at present.
+          weigh: returns the weight of a request's flow, above 0.
+          window: returns the prompt tokens that may be dispatched at present.
         """
         self._settings = settings
         self._weigh = weigh
         self._window = window
         self._flows: dict[tuple[str, str, str], _Flow] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._order = 0
-        self._out_tokens = 0
+        self._dispatched_tokens = 0
         self._waiting = 0
         self._waiting_tokens = 0
         self._bytes = 0
 
     @property
     def waiting(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return self._waiting
 
     def predict_wait(self) -> float:
         """Predicts the seconds that a new request would wait here.
 
-        The window is the work of ``WINDOW_S`` seconds, so what waits takes its
-        share of that time.
+        The window is the work of ``WINDOW_S`` seconds, so the waiting tokens
+        take their share of that time.
         """
         window = self._window()
         if not self._waiting or window <= 0:
@@ -133,33 +135,34 @@
     async def acquire(
         self, request: requests.PromptRequest, latest_start_s: float
     ) -> AsyncIterator[DispatchPermit]:
-        """Waits until the request may go out and owns its room meanwhile.
+        """Waits until a request may be dispatched; holds its window tokens.
 
         Args:
-          request: what waits.
-          latest_start_s: monotonic time at which it must start at the latest.
+          request: the request.
+          latest_start_s: latest monotonic time at which it can start.
 
         Yields:
-          The turn, to be released at the first token.
+          The permit, to be released at the first token.
 
         Raises:
-          failures.FailureError: the queue is full, or the start came too late.
+          failures.FailureError: the queue is full, or the latest start has
+            passed.
         """
         flow = self._find_flow(request)
         if self._waiting or not self._fits(request):
             await self._wait(flow, request, latest_start_s)
         else:
-            self._let_out(flow, request)
-        turn = DispatchPermit(self, count_window_tokens(request))
+            self._dispatch(flow, request)
+        permit = DispatchPermit(self, count_window_tokens(request))
         try:
-            yield turn
+            yield permit
         finally:
-            turn.release()
+            permit.release()
 
-    def give_back(self, tokens: int) -> None:
-        """Counts prompt tokens as computed and lets others out."""
-        self._out_tokens -= tokens
-        self._admit()
+    def return_tokens(self, tokens: int) -> None:
+        """Counts prompt tokens as computed and dispatches waiters."""
+        self._dispatched_tokens -= tokens
+        self._dispatch_waiters()
 
     def _find_flow(self, request: requests.PromptRequest) -> _Flow:
         key = (
@@ -173,15 +176,15 @@
             self._flows[key] = flow
         flow.weight = self._weigh(request)
         if not flow.waiters:
-            # An idle flow earns no credit for the time it did not use.
-            flow.start_tag = max(flow.start_tag, self._virtual)
+            # An idle flow accumulates no credit for unused time.
+            flow.start_tag = max(flow.start_tag, self._virtual_time)
         return flow
 
     def _fits(self, request: requests.PromptRequest) -> bool:
         tokens = count_window_tokens(request)
-        # A prompt larger than the window goes alone rather than never.
-        return self._out_tokens == 0 or (
-            self._out_tokens + tokens <= self._window()
+        # A prompt larger than the window is dispatched alone, not never.
+        return self._dispatched_tokens == 0 or (
+            self._dispatched_tokens + tokens <= self._window()
         )
 
     async def _wait(
@@ -197,12 +200,12 @@
         )
         waiter = _Waiter(latest_start_s, self._order, request, future)
         heapq.heappush(flow.waiters, waiter)
-        self._change_waiting(request, 1)
+        self._adjust_waiting(request, 1)
         try:
             async with asyncio.timeout_at(latest_start_s):
                 await future
         except BaseException as error:
-            self._withdraw(flow, waiter)
+            self._remove_waiter(flow, waiter)
             if not isinstance(error, TimeoutError):
                 raise
             raise failures.FailureError(
@@ -213,23 +216,23 @@
                 )
             ) from None
 
-    def _withdraw(self, flow: _Flow, waiter: _Waiter) -> None:
-        """Takes back a waiter that gave up, even if it was just let out."""
-        if waiter.is_out:
-            self.give_back(count_window_tokens(waiter.request))
+    def _remove_waiter(self, flow: _Flow, waiter: _Waiter) -> None:
+        """Removes a waiter that gave up, even if it was just dispatched."""
+        if waiter.is_dispatched:
+            self.return_tokens(count_window_tokens(waiter.request))
         elif waiter in flow.waiters:
             flow.waiters.remove(waiter)
             heapq.heapify(flow.waiters)
-            self._change_waiting(waiter.request, -1)
-            # It may have been the one that did not fit.
-            self._admit()
+            self._adjust_waiting(waiter.request, -1)
+            # The removed waiter may have been the one that did not fit.
+            self._dispatch_waiters()
 
-    def _let_out(self, flow: _Flow, request: requests.PromptRequest) -> None:
-        """Takes room in the window and charges the flow."""
+    def _dispatch(self, flow: _Flow, request: requests.PromptRequest) -> None:
+        """Takes window tokens and charges the flow."""
         cost = request.prompt_tokens + request.max_tokens
-        self._virtual = max(self._virtual, flow.start_tag)
-        flow.start_tag = self._virtual + cost / flow.weight
-        self._out_tokens += count_window_tokens(request)
+        self._virtual_time = max(self._virtual_time, flow.start_tag)
+        flow.start_tag = self._virtual_time + cost / flow.weight
+        self._dispatched_tokens += count_window_tokens(request)
 
     def _check_bounds(self, request: requests.PromptRequest) -> None:
         full = self._waiting >= self._settings.entries
@@ -243,31 +246,31 @@
                 )
             )
 
-    def _change_waiting(
+    def _adjust_waiting(
         self, request: requests.PromptRequest, sign: int
     ) -> None:
         self._waiting += sign
         self._waiting_tokens += sign * count_window_tokens(request)
         self._bytes += sign * len(request.prompt)
 
-    def _admit(self) -> None:
-        """Lets out waiters, fairest first, while their prompts fit."""
+    def _dispatch_waiters(self) -> None:
+        """Dispatches waiters in fair order while their prompts fit."""
         while self._waiting:
             flows = [flow for flow in self._flows.values() if flow.waiters]
             flow = min(flows, key=lambda flow: flow.start_tag)
             waiter = flow.waiters[0]
-            if not self._fits(waiter.request) and not waiter.admitted.done():
+            if not self._fits(waiter.request) and not waiter.dispatched.done():
                 return
             heapq.heappop(flow.waiters)
-            self._change_waiting(waiter.request, -1)
-            if waiter.admitted.done():
-                # It was cancelled and its task has not run since.
+            self._adjust_waiting(waiter.request, -1)
+            if waiter.dispatched.done():
+                # It was cancelled, but its task has not run since.
                 continue
-            self._let_out(flow, waiter.request)
-            waiter.is_out = True
-            waiter.admitted.set_result(None)
+            self._dispatch(flow, waiter.request)
+            waiter.is_dispatched = True
+            waiter.dispatched.set_result(None)
 
 
 def count_window_tokens(request: requests.PromptRequest) -> int:
-    """Returns the tokens that a prompt takes of the window."""
-    return min(request.prompt_tokens, MOST_WINDOW_TOKENS)
+    """Returns the window tokens that a prompt uses."""
+    return min(request.prompt_tokens, MAX_WINDOW_TOKENS)
--- a/rhubarblock/routing/health_test.py
+++ b/rhubarblock/routing/health_test.py
@@ -5,7 +5,7 @@
     return health.is_suspect(name, data_centre, now_s)
 
 
-def test_broken_endpoint_is_left_twice_as_long_each_time():
+def test_backoff_doubles_with_each_failure():
     health = healths.Health("osu")
     assert health.note_unreachable("a", "osu", 0.0)
     assert is_suspect(health, "a", 0.69)
@@ -15,14 +15,14 @@
     assert not is_suspect(health, "a", 2.4)
 
 
-def test_requests_that_were_under_way_count_once():
+def test_failures_of_concurrent_requests_count_once():
     health = healths.Health("osu")
     health.note_unreachable("a", "osu", 0.0)
     assert not health.note_unreachable("a", "osu", 0.5)
     assert not is_suspect(health, "a", 0.7)
 
 
-def test_one_request_tries_an_endpoint_before_others_come_back():
+def test_one_request_probes_an_endpoint_before_others_follow():
     health = healths.Health("osu")
     health.note_unreachable("a", "osu", 0.0)
     assert health.is_tripped("a")
@@ -33,7 +33,7 @@
     assert not is_suspect(health, "a", 1.9)
 
 
-def test_endpoint_that_fails_most_requests_is_sick():
+def test_endpoint_that_fails_most_requests_is_avoided():
     health = healths.Health("osu")
     for _ in range(3):
         health.note_error("a")
@@ -45,7 +45,7 @@
     assert not is_suspect(health, "a", 0.0)
 
 
-def test_data_centre_whose_endpoints_fall_silent_together_is_left():
+def test_data_centre_with_two_unreachable_endpoints_is_avoided():
     health = healths.Health("osu")
     health.note_unreachable("a", "tema", 0.0)
     assert not is_suspect(health, "c", 0.1, "tema")
@@ -56,14 +56,14 @@
     assert not is_suspect(health, "c", 1.2, "tema")
 
 
-def test_endpoints_that_fail_long_after_each_other_are_two_failures():
+def test_failures_outside_the_window_do_not_count_as_a_partition():
     health = healths.Health("osu")
     health.note_unreachable("a", "tema", 0.0)
     health.note_unreachable("b", "tema", 2.5)
     assert not is_suspect(health, "c", 2.6, "tema")
 
 
-def test_way_within_the_own_data_centre_is_never_broken():
+def test_own_data_centre_is_never_avoided_as_a_whole():
     health = healths.Health("osu")
     health.note_unreachable("a", "osu", 0.0)
     health.note_unreachable("b", "osu", 0.1)
--- a/rhubarblock/routing/lanes.py
+++ b/rhubarblock/routing/lanes.py
@@ -1,8 +1,9 @@
-"""The queues of an instance: short prompts apart from the others.
+"""The queues of an instance: a lane for short prompts and one for the others.
 
-Each lane has a fair queue and a window of its own. In overload the longer
-prompts wait here, while the short ones go on to the engines, whose priorities
-let them overtake; one queue for both made short prompts wait for seconds.
+Each lane has its own fair queue and window. Under overload the longer prompts
+wait here while the short ones go on to the engines, where their priority lets
+them overtake. A single queue for both would make short prompts wait for
+seconds.
 """
 
 from collections.abc import AsyncIterator
@@ -16,7 +17,7 @@
 
 
 class LaneQueues:
-    """The fair queues of one instance."""
+    """The fair queues of one instance, one for each lane."""
 
     __slots__ = ("_long", "_policy", "_short")
 
@@ -31,9 +32,10 @@
 
         Args:
           settings: bounds of each queue.
-          policy: decides which prompts are short, and whether they wait.
-          weigh: gives the weight of a request's flow.
-          window: gives the prompt tokens of each lane that may be out.
+          policy: decides which prompts are short, and whether the window
+            applies.
+          weigh: returns the weight of a request's flow.
+          window: returns the prompt tokens of each lane that may be dispatched.
         """
         self._policy = policy
         if not policy.uses_lengths:
@@ -43,11 +45,11 @@
 
     @property
     def waiting(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return self._short.waiting + self._long.waiting
 
     def predict_wait(self, request: requests.PromptRequest) -> float:
-        """Predicts the seconds that a new request would wait here."""
+        """Predicts the seconds that a new request would wait in its lane."""
         return self._choose(request).predict_wait()
 
     @contextlib.asynccontextmanager
@@ -56,8 +58,8 @@
     ) -> AsyncIterator[fairqueue.DispatchPermit]:
         """Waits in the lane of a request; see ``FairQueue.acquire``."""
         queue = self._choose(request)
-        async with queue.acquire(request, latest_start_s) as turn:
-            yield turn
+        async with queue.acquire(request, latest_start_s) as permit:
+            yield permit
 
     def _choose(self, request: requests.PromptRequest) -> fairqueue.FairQueue:
         if self._policy.is_short(request.prompt_tokens):
--- a/rhubarblock/routing/ledger.py
+++ b/rhubarblock/routing/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of grants: places prompts and counts them until they end.
+"""The ledger of grants: places prompts and counts the grants until they end.
 
-Each instance has one. As coordinator of a pool it places the longer prompts of
-every instance there; for its own short prompts, and for all of its own when
-no coordinator can be reached, it decides alone.
+Each instance has one ledger. As coordinator of a pool the instance places the
+longer prompts of all instances there. For its own short prompts, and for all of
+its own if no coordinator is reachable, it decides alone.
 """
 
 from collections.abc import Callable
@@ -15,22 +15,24 @@
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.routing.placement import policy as policies
 
-# A grant whose holder fell silent is dropped this long after its deadline.
+# Seconds after its deadline at which a grant that was not released is dropped.
 GRACE_S = 2.0
 
 
-KeptLister = Callable[[str, Iterable[str]], frozenset[str]]
+ReservedLister = Callable[[str, Iterable[str]], frozenset[str]]
 
 
-def keep_nothing(service: str, endpoint_ids: Iterable[str]) -> frozenset[str]:
-    """Says that no engine is kept for suspects."""
+def reserve_nothing(
+    service: str, endpoint_ids: Iterable[str]
+) -> frozenset[str]:
+    """Says that no engine is reserved for suspect requests."""
     del service, endpoint_ids
     return frozenset()
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Entry:
-    """One placement that is being counted."""
+    """A placement that is being counted."""
 
     endpoint_ids: tuple[str, ...]
     owner: str
@@ -38,63 +40,63 @@
 
 
 class Ledger:
-    """Places prompts over a load table and counts the grants."""
+    """Places prompts by a load table and counts the grants."""
 
-    __slots__ = ("_entries", "_list_kept", "_policy", "_timers", "table")
+    __slots__ = ("_entries", "_list_reserved", "_policy", "_timers", "table")
 
     def __init__(
         self,
         table: loadtable.LoadTable,
         policy: policies.Policy,
         timers: timer_service.Timers,
-        list_reserved: KeptLister = keep_nothing,
+        list_reserved: ReservedLister = reserve_nothing,
     ):
         """Creates an empty ledger.
 
         Args:
-          table: beliefs about the engines.
+          table: estimated loads of the engines.
           policy: placement policy.
           timers: timer service.
-          list_reserved: gives, of the engines of a service, those that only
-            suspects may use at present.
+          list_reserved: returns those of a service's engines that only suspect
+            requests may use at present.
         """
         self.table = table
         self._policy = policy
         self._timers = timers
-        self._list_kept = list_reserved
+        self._list_reserved = list_reserved
         self._entries: dict[str, _Entry] = {}
 
     def place(
         self, grant_id: str, query: placements.PlacementQuery, owner: str
     ) -> placements.Placement | None:
-        """Chooses endpoints and counts the grant; None when no room.
+        """Chooses endpoints and counts the grant; returns None without room.
 
         Args:
-          grant_id: name by which it is released.
-          query: what is to be placed.
+          grant_id: id by which the grant is released.
+          query: the prompt to place.
           owner: instance that holds the grant.
         """
         now_s = self._timers.read_monotonic()
-        query = self._avoid_kept(query)
+        query = self._avoid_reserved(query)
         placement = self._policy.choose(query, self.table, now_s)
         if placement is not None:
             self.adopt(grant_id, query, placement, owner)
         return placement
 
-    def _avoid_kept(
+    def _avoid_reserved(
         self, query: placements.PlacementQuery
     ) -> placements.PlacementQuery:
-        # Suspects run on engines that compute prompts, whose memory is free
-        # sooner than that of engines that generate.
+        # Suspects run on engines that prefill, whose memory is freed sooner
+        # than that of engines that decode.
         names = (
             load.endpoint.endpoint_id
             for load in self.table.list_loads(query.service, query.model)
             if load.role is not endpoints.Role.DECODE
         )
-        kept = self._list_kept(query.service, names)
-        if not kept:
+        reserved = self._list_reserved(query.service, names)
+        if not reserved:
             return query
-        return dataclasses.replace(query, avoid=query.avoid | kept)
+        return dataclasses.replace(query, avoid=query.avoid | reserved)
 
     def adopt(
         self,
@@ -103,15 +105,17 @@
         placement: placements.Placement,
         owner: str,
     ) -> None:
-        """Counts a placement that was decided here or elsewhere."""
+        """Counts a placement that was decided here or at a coordinator."""
         now_s = self._timers.read_monotonic()
         prefixes = self.table.prefixes
         first = placement.list_endpoints()[0]
         cached = prefixes.count_cached(first, query.prefix_blocks)
         for grant in _list_grants(grant_id, query, placement, now_s):
             if grant.endpoint_id == first:
-                rest = grant.prefill_tokens - cached
-                grant.prefill_tokens = max(loadtable.LEAST_REST_TOKENS, rest)
+                remaining = grant.prefill_tokens - cached
+                grant.prefill_tokens = max(
+                    loadtable.MIN_REMAINING_TOKENS, remaining
+                )
             self.table.add(grant)
         prefixes.expect(first, query.prefix_blocks)
         self._entries[grant_id] = _Entry(
@@ -119,14 +123,14 @@
         )
 
     def end_prefill(self, grant_id: str) -> None:
-        """Marks that the prompt of a grant has been computed."""
+        """Marks the prefill of a grant as done."""
         entry = self._entries.get(grant_id)
         if entry is not None:
             for endpoint_id in entry.endpoint_ids:
                 self.table.end_prefill(grant_id, endpoint_id)
 
     def release(self, grant_id: str) -> None:
-        """Stops counting a grant; unknown ones are ignored."""
+        """Stops counting a grant; unknown grants are ignored."""
         entry = self._entries.pop(grant_id, None)
         if entry is not None:
             for endpoint_id in entry.endpoint_ids:
@@ -139,7 +143,7 @@
                 self.release(grant_id)
 
     def collect_expired(self) -> int:
-        """Releases grants past their time and returns how many there were."""
+        """Releases expired grants and returns their number."""
         now_s = self._timers.read_monotonic()
         expired = [
             grant_id
@@ -157,7 +161,7 @@
     placement: placements.Placement,
     now_s: float,
 ) -> list[loadtable.Grant]:
-    """Returns what each endpoint of a placement has to bear."""
+    """Returns the load that a placement puts on each of its endpoints."""
     grants = []
     start = 0
     for segment in placement.segments:
@@ -174,14 +178,14 @@
             )
         )
         start = segment.end
-    rest = query.prompt_tokens - start
-    kv_tokens = rest + query.max_tokens
+    remaining = query.prompt_tokens - start
+    kv_tokens = remaining + query.max_tokens
     grants.append(
         loadtable.Grant(
             grant_id,
             placement.prefill_id,
             placement.priority,
-            rest,
+            remaining,
             kv_tokens,
             not placement.handed_over,
             now_s,
--- a/rhubarblock/routing/lending/__init__.py
+++ b/rhubarblock/routing/lending/__init__.py
@@ -1,7 +1,7 @@
-"""Shares of the limits over all instances, without a coordination service.
+"""Shares of the limits across all instances, without a coordination service.
 
-Others use ``lender``, which holds the shares of one instance and asks the
-coordinator of each limit. Read on in ``entry`` and ``holding`` (what one
-instance owns), ``holders`` (who owns a static share), ``coordinator`` and
-``pool`` (who lends and who borrows), ``targets`` (how a limit is divided).
+Callers use ``lender``, which holds the shares of one instance and reports to
+the coordinator of each limit. ``entry`` and ``holding`` keep what one instance
+owns, ``holders`` lists the instances that have a static share, ``coordinator``
+and ``pool`` decide who lends and who borrows, and ``targets`` divides a limit.
 """
--- a/rhubarblock/routing/lending/coordinator.py
+++ b/rhubarblock/routing/lending/coordinator.py
@@ -1,8 +1,8 @@
 """The coordinator of limits: answers the reports of all instances.
 
-Which entries it coordinates is decided by those who call it. Two instances
-may coordinate one entry while views differ; each lends only what was pledged
-to itself.
+Its callers decide which entries it coordinates. Two instances may coordinate
+the same entry while their membership views differ; each one lends only what was
+pledged to it.
 """
 
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 from rhubarblock.routing.lending import pool as lendingpool
 
 _MS_PER_S = 1000
-# Time after which the book of an entry that nobody reports is dropped.
-_FORGET_S = 600.0
+# Seconds after which the pools of an entry without reports are dropped.
+_POOLS_TTL_S = 600.0
 
 HoldersProvider = Callable[[], frozenset[str]]
 
 
 @dataclasses.dataclass(slots=True)
-class _Book:
+class _EntryPools:
     rates: lendingpool.Pool
     slots: lendingpool.Pool
     used_s: float = 0.0
@@ -29,19 +29,19 @@
 
 @dataclasses.dataclass(slots=True)
 class CoordinatorCounters:
-    """What the coordinator counted since its start."""
+    """Counters of the coordinator since its start."""
 
     reports: int = 0
     stale_reports: int = 0
 
 
 class LendingCoordinator:
-    """Answers reports; keeps a book for each entry."""
+    """Answers reports; keeps the pools of each entry."""
 
     __slots__ = (
-        "_books",
         "_epoch",
         "_holders",
+        "_pools",
         "_rates",
         "_sequences",
         "_slots",
@@ -57,7 +57,7 @@
         rates: lendingpool.PoolSettings,
         slots: lendingpool.PoolSettings,
     ):
-        """Creates a coordinator with empty books.
+        """Creates a coordinator with empty pools.
 
         Args:
           timers: the timer service.
@@ -71,22 +71,22 @@
         self._holders = holders
         self._rates = rates
         self._slots = slots
-        self._books: dict[str, _Book] = {}
+        self._pools: dict[str, _EntryPools] = {}
         self._sequences: dict[str, int] = {}
         self.counters = CoordinatorCounters()
 
     def answer(
         self, sender: str, request: lending_pb2.LendRequest
     ) -> lending_pb2.LendAnswer:
-        """Takes the report of an instance.
+        """Answers the report of an instance.
 
         Args:
           sender: the instance.
           request: its report.
 
         Returns:
-          What it may have; nothing when the report is older than one that
-          came before, for its sender gave up on it.
+          What it may use; without grants if a later report has arrived before,
+          as the sender no longer waits for this answer.
         """
         now_s = self._timers.read_monotonic()
         answer = lending_pb2.LendAnswer(
@@ -115,34 +115,34 @@
         holders: frozenset[str],
         now_s: float,
     ) -> lending_pb2.EntryGrant:
-        book = self._find_book(report.key, now_s)
+        pools = self._find_pools(report.key, now_s)
         grant = lending_pb2.EntryGrant(
             key=report.key,
-            rates=book.rates.exchange(
+            rates=pools.rates.exchange(
                 sender, report.rates, stamp_s, holders, now_s
             ),
-            slots=book.slots.exchange(
+            slots=pools.slots.exchange(
                 sender, report.slots, stamp_s, holders, now_s
             ),
         )
         if not report.rates.own:
-            grant.joined = book.rates.has_room(sender, holders, now_s)
+            grant.joined = pools.rates.has_room(sender, holders, now_s)
         return grant
 
-    def _find_book(self, key: str, now_s: float) -> _Book:
-        book = self._books.get(key)
-        if book is None:
-            book = self._books[key] = _Book(
+    def _find_pools(self, key: str, now_s: float) -> _EntryPools:
+        pools = self._pools.get(key)
+        if pools is None:
+            pools = self._pools[key] = _EntryPools(
                 lendingpool.Pool(self._rates), lendingpool.Pool(self._slots)
             )
-        book.used_s = now_s
-        return book
+        pools.used_s = now_s
+        return pools
 
     def _forget_unused(self, now_s: float) -> None:
         unused = [
             key
-            for key, book in self._books.items()
-            if now_s - book.used_s > _FORGET_S
+            for key, pools in self._pools.items()
+            if now_s - pools.used_s > _POOLS_TTL_S
         ]
         for key in unused:
-            del self._books[key]
+            del self._pools[key]
--- a/rhubarblock/routing/lending/entry.py
+++ b/rhubarblock/routing/lending/entry.py
@@ -10,11 +10,11 @@
 from rhubarblock.routing.lending import lending_pb2
 
 _CACHED_OWNERS = 4096
-# Additional reports of an instance whose share does not suffice any more;
-# after them it waits for the regular ones like all others.
+# Additional reports of an instance whose share no longer suffices; after them
+# it waits for the regular reports like all others.
 EARLY_REPORTS = 4
 # Part of a limit below which others can wait for the next regular report.
-_NOTABLE_UNITS = limitshare.SHARE_UNITS // 50
+_MIN_REPORTED_UNITS = limitshare.SHARE_UNITS // 50
 
 
 class LentEntry:
@@ -50,30 +50,30 @@
         self._slots = lendingholding.Holding(pledge_s + hold_s)
         self._loan_until_s = 0.0
 
-    def set_own(self, units: int, slots: int) -> None:
+    def set_static_share(self, units: int, slots: int) -> None:
         """Sets the static share."""
         self._rates.own = units
         self._slots.own = slots
 
     def settle(self, coordinator_id: str | None, now_s: float) -> None:
-        """Ends what lapsed, and all ties to an earlier coordinator."""
+        """Ends what has expired, and all ties to an earlier coordinator."""
         if coordinator_id != self.coordinator_id:
             self.leave_coordinator()
             self.coordinator_id = coordinator_id
         if now_s >= self._loan_until_s:
             self._rates.loan = 0
             self._slots.loan = 0
-        self._rates.free_lapsed(now_s)
-        self._slots.free_lapsed(now_s)
+        self._rates.free_expired(now_s)
+        self._slots.free_expired(now_s)
 
     def leave_coordinator(self) -> None:
-        """Gives up the loan and locks the pledge until it lapses."""
+        """Drops the loan and locks the pledge until it expires."""
         self._rates.change_coordinator()
         self._slots.change_coordinator()
 
     def read_share(self, at_s: float) -> limitshare.Share:
-        """Returns the share that holds at a moment and until when."""
-        units, slots = self._rates.kept, self._slots.kept
+        """Returns the share that applies at a given time, and until when."""
+        units, slots = self._rates.usable, self._slots.usable
         borrowed = self._rates.loan or self._slots.loan
         if not borrowed or at_s >= self._loan_until_s:
             return limitshare.Share(units, slots)
@@ -108,24 +108,24 @@
         loan_until_s: float,
         received_s: float,
     ) -> bool:
-        """Puts the coordinator's answer in force.
+        """Applies the coordinator's answer.
 
         Args:
           grant: the answer.
-          long_held: long prompts that run at this moment.
-          loan_until_s: time at which the loan lapses.
+          long_held: long prompts that are running now.
+          loan_until_s: time at which the loan expires.
           received_s: time of the answer.
 
         Returns:
-          Whether a report at once helps others.
+          Whether an immediate report helps others.
         """
         units = self._rates.apply(grant.rates, 0, received_s)
         slots = self._slots.apply(grant.slots, long_held, received_s)
         self._loan_until_s = loan_until_s
-        return units >= _NOTABLE_UNITS or slots > 0
+        return units >= _MIN_REPORTED_UNITS or slots > 0
 
 
-def compute_own(
+def compute_static_share(
     limits: catalogues.Limits,
     key: str,
     instance_id: str,
@@ -137,7 +137,7 @@
       limits: limits of the entry.
       key: name of the entry.
       instance_id: the instance.
-      holders: every instance that has a share.
+      holders: all instances that have a share.
     """
     if instance_id not in holders:
         return limitshare.NO_SHARE
@@ -152,7 +152,10 @@
 def _choose_owners(
     key: str, slots: int, holders: frozenset[str]
 ) -> tuple[str, ...]:
-    """Chooses an owner for each slot; few change when an instance comes."""
+    """Chooses an owner for each slot by rendezvous hashing.
+
+    Few owners change when an instance is added.
+    """
     return tuple(
         _choose_owner(f"limits/{key}/{number}", holders)
         for number in range(slots)
--- a/rhubarblock/routing/lending/holders.py
+++ b/rhubarblock/routing/lending/holders.py
@@ -1,8 +1,8 @@
-"""Which instances have a static share of every limit.
+"""Lists the instances that have a static share of every limit.
 
-An instance that cannot be reached may go on with its share, so it counts as
-long as it may live. One that left said so after its last request; one that
-is dead counts a little longer, as its death may be a false alarm.
+An unreachable instance may still use its share, so it counts for as long as it
+may be alive. An instance that left has announced that after its last request. A
+dead one counts a little longer, as its death may be a false alarm.
 """
 
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.kernel import timers as timers_lib
 
-# Time for which a dead instance keeps its share, in seconds: longer than a
-# paused one goes on with it (``lending.LendingSettings.self_lease_s``).
+# Seconds for which a dead instance keeps its share: longer than a paused
+# instance continues to use it (``lending.LendingSettings.self_lease_s``).
 DEAD_S = 10.0
 
 
 class ShareHolders:
-    """Follows the known instances."""
+    """Tracks the instances that have a static share."""
 
     __slots__ = ("_dead_since_s", "_list_members", "_timers")
 
@@ -26,7 +26,7 @@
         timers: timers_lib.Timers,
         list_members: Callable[[], Iterable[members.Member]],
     ):
-        """Creates it.
+        """Creates the tracker.
 
         Args:
           timers: the timer service.
@@ -53,9 +53,9 @@
             for member in known
             if member.state is members.MemberState.ALIVE
         }
-        lately = {
+        recently_dead = {
             name
             for name, since_s in self._dead_since_s.items()
             if now_s - since_s < DEAD_S
         }
-        return frozenset(alive | lately)
+        return frozenset(alive | recently_dead)
--- a/rhubarblock/routing/lending/holding.py
+++ b/rhubarblock/routing/lending/holding.py
@@ -4,16 +4,17 @@
 
 from rhubarblock.routing.lending import lending_pb2
 
-# Time in which a new pledge is reported, in seconds; else it ends unused.
+# Seconds within which a new pledge has to be reported; otherwise it ends
+# unused.
 UNREPORTED_S = 2.0
 
 
 class Holding:
-    """Amounts of one resource; times in seconds of the monotonic clock.
+    """Amounts of one resource; times in monotonic seconds.
 
     Attributes:
       own: static share.
-      loan: amount borrowed; the entry knows when it lapses.
+      loan: borrowed amount; the entry knows when it expires.
     """
 
     __slots__ = (
@@ -27,11 +28,11 @@
     )
 
     def __init__(self, lock_s: float):
-        """Creates a holding of nothing.
+        """Creates an empty holding.
 
         Args:
-          lock_s: time from the receipt of a stamp until a pledge that was
-            given with it is certainly unused.
+          lock_s: time from the receipt of a stamp until a pledge that was made
+            with it is certainly unused.
         """
         self._lock_s = lock_s
         self._pledged = 0
@@ -42,19 +43,19 @@
         self.loan = 0
 
     @property
-    def kept(self) -> int:
-        """The part of its own share that the instance may use."""
+    def usable(self) -> int:
+        """The part of the static share that the instance may use."""
         return max(0, self.own - self._pledged - self._locked)
 
-    def free_lapsed(self, now_s: float) -> None:
-        """Takes back what nobody can use any more."""
+    def free_expired(self, now_s: float) -> None:
+        """Takes back pledged and locked amounts that have expired."""
         if now_s >= self._pledged_until_s:
             self._pledged = 0
         if now_s >= self._locked_until_s:
             self._locked = 0
 
     def change_coordinator(self) -> None:
-        """Forgets the loan and locks what the last coordinator may lend."""
+        """Drops the loan and locks what the last coordinator may still lend."""
         self.loan = 0
         self._locked += self._pledged
         self._locked_until_s = max(self._locked_until_s, self._pledged_until_s)
@@ -68,8 +69,8 @@
 
         Args:
           demand: what the instance could use.
-          in_use: amount that is taken up whatever lapses.
-          stamp_received_s: when the stamp came that is sent along.
+          in_use: amount that stays in use even if a loan expires.
+          stamp_received_s: when the stamp in the report was received.
         """
         if self._pledged:
             until_s = stamp_received_s + self._lock_s
@@ -79,7 +80,7 @@
             pledged=self._pledged,
             locked=self._locked,
             loan=self.loan,
-            held=max(0, in_use - self.kept),
+            held=max(0, in_use - self.usable),
             demand=demand,
         )
 
@@ -89,12 +90,12 @@
         in_use: int,
         received_s: float,
     ) -> int:
-        """Puts the coordinator's answer in force.
+        """Applies the coordinator's answer.
 
         Args:
           grant: the answer.
-          in_use: amount that is taken up and cannot be pledged.
-          received_s: when the answer came.
+          in_use: amount that is in use and cannot be pledged.
+          received_s: when the answer was received.
 
         Returns:
           The amount that others can have after the next report.
@@ -108,7 +109,7 @@
             self._locked = 0
         self._pledged = max(0, self._pledged - grant.release)
         self.loan = grant.loan
-        taken = min(grant.take, max(0, self.kept - in_use))
+        taken = min(grant.take, max(0, self.usable - in_use))
         if taken:
             self._pledged += taken
             until_s = received_s + UNREPORTED_S
--- a/rhubarblock/routing/lending/lender.py
+++ b/rhubarblock/routing/lending/lender.py
@@ -1,9 +1,9 @@
-"""Shares of the limits over all instances, without a coordination service.
+"""Shares of the limits across all instances, without a coordination service.
 
-Each instance owns a static share of every limit. What it does not need it
-pledges to a coordinator, which lends it to those that need more. Nobody ever
-uses an amount that another may still use, so the sum of all shares stays
-within the limit through deaths, pauses and partitions; see
+Each instance owns a static share of every limit. It pledges what it does not
+need to a coordinator, which lends it to instances that need more. No instance
+ever uses an amount that another may still use, so the sum of all shares stays
+within the limit through crashes, pauses and partitions; see
 docs/design/limits.md.
 """
 
@@ -30,13 +30,13 @@
 
 LEND_KIND = "limits.lend"
 
-# Bits of a sequence number that count the calls of one start.
+# Bits of a sequence number that count the calls since one start.
 _SEQUENCE_BITS = 22
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Coordinator:
-    """Instance that coordinates some entries."""
+    """The instance that coordinates some entries."""
 
     instance_id: str
     address: str
@@ -50,18 +50,18 @@
     """Times in seconds, and numbers.
 
     Attributes:
-      interval_s: time between two reports, on average.
+      interval_s: mean time between two reports.
       call_timeout_s: time to wait for an answer.
       lease_s: time for which a loan lasts.
       pledge_s: time for which a pledge lasts; longer than a lease and two
         reports.
       hold_s: longest time that a long prompt takes.
-      self_lease_s: time without a round after which an instance was paused
-        and stops to use its own share.
-      join_s: time after which an instance that nobody confirmed uses its own
-        share: by then those that can be reached know of it.
+      self_lease_s: time without a round after which an instance counts as
+        paused and stops using its static share.
+      join_s: time after which an unconfirmed instance uses its static share; by
+        then all reachable instances know of it.
       early_s: delay of the additional report when a share does not suffice.
-      shards: number of duties over which the entries are spread.
+      shards: number of shards over which the entries are spread.
     """
 
     interval_s: float = 0.9
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LendingCounters:
-    """What lending counted since its start."""
+    """Counters of lending since its start."""
 
     calls: int = 0
     early_calls: int = 0
@@ -86,11 +86,11 @@
 
 
 class _Link:
-    """The calls of this instance to one coordinator."""
+    """The reports of this instance to one coordinator."""
 
     __slots__ = (
         "coordinator",
-        "early",
+        "early_report",
         "epoch",
         "keys",
         "lock",
@@ -102,14 +102,14 @@
         self.coordinator = coordinator
         self.keys: list[str] = []
         self.lock = asyncio.Lock()
-        self.early: asyncio.TimerHandle | None = None
+        self.early_report: asyncio.TimerHandle | None = None
         self.epoch = 0
         self.stamp_ms = 0
         self.stamp_received_s = -math.inf
 
 
 class Lender(limitshare.Shares):
-    """Finds the shares of one instance, and coordinates those of others."""
+    """Obtains the shares of one instance, and coordinates those of others."""
 
     def __init__(
         self,
@@ -123,14 +123,15 @@
         rng: random.Random,
         settings: LendingSettings | None = None,
     ):
-        """Creates it without any share; ``run`` finds them.
+        """Creates a lender without any share; ``run`` obtains them.
 
         Args:
           timers: the timer service.
           transport: calls to peers.
           instance_id: this instance.
-          incarnation: number of its start, higher than that of any before.
-          coordinator_for: returns the live instance that holds a duty.
+          incarnation: number of its start, higher than that of any earlier
+            start.
+          coordinator_for: returns the live instance that coordinates a shard.
           holders: returns the ids of the instances that have a static share.
           catalogue_provider: returns the catalogue in force.
           rng: spreads the reports in time.
@@ -148,14 +149,15 @@
         self._entries: dict[str, lendingentry.LentEntry] = {}
         self._links: dict[str, _Link] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        # Sequences rise over starts, for the wall clock does.
+        # The incarnation follows the wall clock, so sequence numbers increase
+        # across starts.
         self._sequence = incarnation << _SEQUENCE_BITS
         self._fresh_until_s = -math.inf
         self._join_s = math.inf
         self._joined = False
         self.counters = LendingCounters()
-        self._server = self._build_coordinator(incarnation)
-        transport.register(LEND_KIND, self._answer)
+        self._local_coordinator = self._build_coordinator(incarnation)
+        transport.register(LEND_KIND, self._handle_report)
 
     @property
     def is_joined(self) -> bool:
@@ -180,15 +182,19 @@
     def ask_for_more(self, key: str) -> None:
         entry = self._find_entry(key)
         link = self._links.get(entry.coordinator_id or "")
-        if link is None or link.early is not None or not entry.early_left:
+        if (
+            link is None
+            or link.early_report is not None
+            or not entry.early_left
+        ):
             return
         entry.early_left -= 1
-        link.early = self._timers.call_later(
+        link.early_report = self._timers.call_later(
             self._settings.early_s, lambda: self._report_early(link)
         )
 
     def find_shard(self, key: str) -> str:
-        """Returns the duty under which an entry is coordinated."""
+        """Returns the name of the shard in which an entry is coordinated."""
         shard = zlib.crc32(key.encode()) % self._settings.shards
         return f"limits/{shard}"
 
@@ -211,9 +217,9 @@
             for task in list(self._tasks):
                 task.cancel()
             for link in self._links.values():
-                _cancel_early(link)
+                _cancel_early_report(link)
 
-    # Rounds.
+    # Rounds of reports.
 
     async def _run_round(self) -> None:
         now_s = self._timers.read_monotonic()
@@ -222,8 +228,8 @@
         limits = limiters.list_limited_entries(self._catalogue())
         self._settle_entries(limits, now_s)
         for link in self._links.values():
-            # A report that is due now makes the additional one needless.
-            _cancel_early(link)
+            # The regular report replaces a pending additional one.
+            _cancel_early_report(link)
         was_joined = self._joined
         links = [link for link in self._links.values() if link.keys]
         await asyncio.gather(*(self._report(link) for link in links))
@@ -232,7 +238,7 @@
         self._refresh_shares(list(self._entries))
 
     def _check_pause(self, now_s: float) -> None:
-        """Joins anew when others may have divided this instance's share."""
+        """Joins anew after a pause, as others may have divided its share."""
         if self._joined and now_s >= self._fresh_until_s:
             self.counters.pauses += 1
             self._joined = False
@@ -250,7 +256,7 @@
         holders = self._holders()
         for key, entry_limits in limits.items():
             entry = self._find_entry(key)
-            self._set_own(entry, entry_limits, holders)
+            self._set_static_share(entry, entry_limits, holders)
             coordinator = self._coordinator_for(self.find_shard(key))
             if coordinator is None:
                 entry.settle(None, now_s)
@@ -258,7 +264,7 @@
             entry.settle(coordinator.instance_id, now_s)
             self._find_link(coordinator).keys.append(key)
 
-    def _set_own(
+    def _set_static_share(
         self,
         entry: lendingentry.LentEntry,
         limits: catalogues.Limits,
@@ -266,10 +272,10 @@
     ) -> None:
         own = limitshare.NO_SHARE
         if self._joined:
-            own = lendingentry.compute_own(
+            own = lendingentry.compute_static_share(
                 limits, entry.key, self._instance_id, holders
             )
-        entry.set_own(own.units, own.long_slots)
+        entry.set_static_share(own.units, own.long_slots)
 
     def _find_link(self, coordinator: Coordinator) -> _Link:
         link = self._links.get(coordinator.instance_id)
@@ -300,7 +306,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _report(self, link: _Link) -> None:
-        """Reports once, and again if others wait for the effect."""
+        """Reports once, and a second time if others wait for the effect."""
         if link.lock.locked():
             return
         async with link.lock:
@@ -343,7 +349,7 @@
         self, coordinator: Coordinator, request: lending_pb2.LendRequest
     ) -> lending_pb2.LendAnswer:
         if coordinator.instance_id == self._instance_id:
-            return self._server.answer(self._instance_id, request)
+            return self._local_coordinator.answer(self._instance_id, request)
         payload = await self._transport.call(
             coordinator.address,
             LEND_KIND,
@@ -385,7 +391,7 @@
     def _read_long_held(self, key: str) -> int:
         return self._user.read_long_held(key) if self._user else 0
 
-    # Reports of others.
+    # Reports of other instances.
 
     def _build_coordinator(
         self, incarnation: int
@@ -401,12 +407,14 @@
             ),
         )
 
-    async def _answer(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_report(self, sender: str, payload: bytes) -> bytes:
         request = lending_pb2.LendRequest.FromString(payload)
-        return self._server.answer(sender, request).SerializeToString()
+        return self._local_coordinator.answer(
+            sender, request
+        ).SerializeToString()
 
 
-def _cancel_early(link: _Link) -> None:
-    if link.early is not None:
-        link.early.cancel()
-        link.early = None
+def _cancel_early_report(link: _Link) -> None:
+    if link.early_report is not None:
+        link.early_report.cancel()
+        link.early_report = None
--- a/rhubarblock/routing/lending/lender_test.py
+++ b/rhubarblock/routing/lending/lender_test.py
@@ -30,7 +30,7 @@
 
 
 class Network:
-    """Calls handlers directly; ``down`` holds addresses that do not answer."""
+    """Calls handlers directly; addresses in ``down`` do not answer."""
 
     def __init__(self):
         self.transports = {}
@@ -56,7 +56,7 @@
         return await target.handlers[kind](self.address, payload)
 
 
-class Bench:
+class Harness:
     """Instances a, b and c; the coordinator is ``coordinator``."""
 
     def __init__(self):
@@ -108,50 +108,52 @@
 
 def run(check):
     async def main():
-        bench = Bench()
+        harness = Harness()
         async with contextlib.AsyncExitStack() as stack:
-            for name in sorted(bench.holders):
-                await bench.start(stack, name)
-            await check(bench, stack)
+            for name in sorted(harness.holders):
+                await harness.start(stack, name)
+            await check(harness, stack)
 
     virtualloop.run(main())
 
 
-def test_instances_that_start_together_soon_have_equal_shares():
-    async def check(bench, stack):
-        # Only the last one to start has all others' word already.
-        assert [s.units for s in bench.read_shares().values()] == [
+def test_instances_that_start_together_get_equal_shares():
+    async def check(harness, stack):
+        # Only the last instance to start is confirmed by all others already.
+        assert [s.units for s in harness.read_shares().values()] == [
             0,
             0,
             333_333,
         ]
-        await bench.clock.sleep(3.0)
-        assert [s.units for s in bench.read_shares().values()] == [333_333] * 3
-        slots = [s.long_slots for s in bench.read_shares().values()]
+        await harness.clock.sleep(3.0)
+        assert [s.units for s in harness.read_shares().values()] == [
+            333_333
+        ] * 3
+        slots = [s.long_slots for s in harness.read_shares().values()]
         assert sum(slots) == 2
 
     run(check)
 
 
-def test_unused_share_is_lent_and_taken_back():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        await bench.load("b", 4.0)
-        assert bench.read_shares()["b"].units > 900_000
-        await bench.load("c", 5.0)
-        shares = bench.read_shares()
+def test_unused_share_is_lent_and_returned():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        await harness.load("b", 4.0)
+        assert harness.read_shares()["b"].units > 900_000
+        await harness.load("c", 5.0)
+        shares = harness.read_shares()
         assert shares["c"].units > 900_000
         assert shares["b"].units < 50_000
 
     run(check)
 
 
-def test_a_slot_is_lent_and_comes_back_after_its_prompt():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        shares = bench.read_shares()
+def test_a_slot_is_lent_and_returned_after_its_prompt():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        shares = harness.read_shares()
         name = min(shares, key=lambda name: shares[name].long_slots)
-        limiter = bench.nodes[name][0]
+        limiter = harness.nodes[name][0]
 
         def admit():
             return limiter.admit(
@@ -161,50 +163,50 @@
         tickets = []
         for _ in range(12):
             tickets += [ticket for ticket in [admit()] if ticket]
-            await bench.clock.sleep(0.5)
+            await harness.clock.sleep(0.5)
         assert len(tickets) == 2
         for ticket in tickets:
             ticket.close()
-        await bench.clock.sleep(8.0)
-        assert [s.long_slots for s in bench.read_shares().values()] == [
+        await harness.clock.sleep(8.0)
+        assert [s.long_slots for s in harness.read_shares().values()] == [
             share.long_slots for share in shares.values()
         ]
 
     run(check)
 
 
-def test_an_instance_that_is_cut_off_has_its_own_share_again():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        await bench.load("b", 4.0)
-        bench.network.down = {"c"}
-        await bench.load("b", 2.0)
-        assert bench.read_shares()["c"].units < 50_000
-        await bench.load("b", 6.0)
-        assert bench.read_shares()["c"].units == 333_333
-        assert 600_000 < bench.read_shares()["b"].units <= 666_667
+def test_a_partitioned_instance_gets_its_static_share_back():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        await harness.load("b", 4.0)
+        harness.network.down = {"c"}
+        await harness.load("b", 2.0)
+        assert harness.read_shares()["c"].units < 50_000
+        await harness.load("b", 6.0)
+        assert harness.read_shares()["c"].units == 333_333
+        assert 600_000 < harness.read_shares()["b"].units <= 666_667
 
     run(check)
 
 
-def test_a_new_coordinator_lends_again_and_never_too_much():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        await bench.load("b", 4.0)
-        bench.network.down = {"a"}
-        bench.coordinator = "c"
-        await bench.load("b", 10.0)
-        shares = bench.read_shares()
+def test_a_new_coordinator_lends_without_exceeding_the_limit():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        await harness.load("b", 4.0)
+        harness.network.down = {"a"}
+        harness.coordinator = "c"
+        await harness.load("b", 10.0)
+        shares = harness.read_shares()
         assert shares["a"].units == 333_333
         assert shares["b"].units > 600_000
 
     run(check)
 
 
-def test_a_paused_instance_does_not_go_on_with_its_share():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        limiter, lender = bench.nodes["b"]
+def test_a_paused_instance_stops_using_its_share():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        limiter, lender = harness.nodes["b"]
         entry = CATALOGUE.institutions["adwoa"].limits
         share = lender.read_share("adwoa", entry, 3.0)
         assert share.units == 333_333
@@ -214,15 +216,17 @@
     run(check)
 
 
-def test_a_replacement_waits_until_the_others_left_it_room():
-    async def check(bench, stack):
-        await bench.clock.sleep(3.0)
-        await bench.start(stack, "d")
-        assert bench.read_shares()["d"].units == 0
-        await bench.clock.sleep(3.0)
-        assert bench.read_shares()["d"].units == 0
-        bench.holders = frozenset("abcd")
-        await bench.clock.sleep(4.0)
-        assert [s.units for s in bench.read_shares().values()] == [250_000] * 4
+def test_a_replacement_waits_until_the_others_left_room():
+    async def check(harness, stack):
+        await harness.clock.sleep(3.0)
+        await harness.start(stack, "d")
+        assert harness.read_shares()["d"].units == 0
+        await harness.clock.sleep(3.0)
+        assert harness.read_shares()["d"].units == 0
+        harness.holders = frozenset("abcd")
+        await harness.clock.sleep(4.0)
+        assert [s.units for s in harness.read_shares().values()] == [
+            250_000
+        ] * 4
 
     run(check)
--- a/rhubarblock/routing/lending/pool_test.py
+++ b/rhubarblock/routing/lending/pool_test.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_only_what_was_pledged_is_lent():
+def test_only_pledged_amounts_are_lent():
     pool = make_pool()
     exchange(pool, "a", 0.0, own=500_000)
     assert exchange(pool, "b", 0.5, own=500_000, demand=900_000) == (0, 0, 0)
@@ -48,7 +48,7 @@
     assert exchange(pool, "b", 4.0, own=500_000, demand=900_000) == (0, 0, 0)
 
 
-def test_a_loan_is_taken_back_only_when_its_borrower_says_so():
+def test_a_loan_ends_when_its_borrower_reports_it():
     pool = make_pool()
     lend_from_a_to_b(pool)
     wanted = {"own": 500_000, "pledged": 400_000, "demand": 500_000}
@@ -60,7 +60,7 @@
     assert exchange(pool, "a", 2.8, **wanted) == (400_000, 0, 0)
 
 
-def test_a_loan_is_taken_back_when_it_lapsed():
+def test_a_loan_ends_when_it_expires():
     pool = make_pool()
     lend_from_a_to_b(pool)
     wanted = {"own": 500_000, "pledged": 400_000, "demand": 500_000}
@@ -68,7 +68,7 @@
     assert exchange(pool, "a", 4.6, **wanted) == (400_000, 0, 0)
 
 
-def test_a_slot_counts_as_long_as_a_prompt_may_hold_it():
+def test_a_lent_slot_counts_for_as_long_as_a_prompt_may_hold_it():
     pool = make_pool(hold_s=60.0)
     exchange(pool, "a", 0.0, own=1)
     exchange(pool, "b", 0.5, demand=1)
@@ -81,7 +81,7 @@
     assert exchange(pool, "a", 66.0, **wanted) == (1, 0, 0)
 
 
-def test_pledges_of_an_earlier_coordinator_are_adopted_when_all_are_known():
+def test_earlier_pledges_are_adopted_once_all_instances_have_reported():
     pool = make_pool()
     adopted = []
     for second in range(9):
@@ -92,7 +92,7 @@
     assert adopted == [False] * 14 + [True] * 4
 
 
-def test_an_instance_joins_when_all_others_left_room():
+def test_an_instance_joins_once_all_others_left_room():
     pool = make_pool()
     exchange(pool, "b", 0.0)
     assert not pool.has_room("b", ALL, 0.0)
--- a/rhubarblock/routing/lending/targets.py
+++ b/rhubarblock/routing/lending/targets.py
@@ -2,18 +2,18 @@
 
 import dataclasses
 
-# Part of its own share that an idle instance keeps for its next requests.
-KEPT_PART = 0.1
+# Part of its static share that an idle instance keeps for its next requests.
+RESERVE_PART = 0.1
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
-    """What one instance owns and needs of a limit.
+class Participant:
+    """The share and the demand of one instance for a limit.
 
     Attributes:
-      instance_id: the instance; decides between equals.
+      instance_id: the instance; breaks ties.
       own: its static share.
-      pledged: the part of it that it lends at present.
+      pledged: the part of it that is lent at present.
       demand: what it could use.
     """
 
@@ -23,45 +23,45 @@
     demand: int
 
 
-def compute_targets(standings: list[Standing]) -> dict[str, int]:
-    """Computes how much each instance should have.
+def compute_targets(participants: list[Participant]) -> dict[str, int]:
+    """Computes the amount that each instance should have.
 
-    Everyone has its own share as far as it needs it. What it does not need is
-    lent to those whose demand is larger than their own share, and only as far
-    as they need it, evenly among them.
+    Each instance gets its static share as far as it needs it. The unused part
+    is lent to the instances whose demand exceeds their static share, as far as
+    they need it and evenly among them.
 
     Args:
-      standings: every instance that takes part.
+      participants: all instances that take part.
 
     Returns:
-      Amounts by instance; their sum is that of the own shares.
+      Amounts by instance; their sum equals the sum of the static shares.
     """
-    if all(s.demand <= s.own for s in standings):
-        return {s.instance_id: s.own for s in standings}
-    needs = {s.instance_id: max(0, s.demand - s.own) for s in standings}
+    if all(s.demand <= s.own for s in participants):
+        return {s.instance_id: s.own for s in participants}
+    needs = {s.instance_id: max(0, s.demand - s.own) for s in participants}
     spares = {
-        s.instance_id: max(0, s.own - max(s.demand, int(s.own * KEPT_PART)))
-        for s in standings
+        s.instance_id: max(0, s.own - max(s.demand, int(s.own * RESERVE_PART)))
+        for s in participants
     }
     lent = min(sum(needs.values()), sum(spares.values()))
     given = fill_evenly(needs, lent)
-    # Who lends already goes on first, so that lenders change seldom.
-    order = sorted(standings, key=lambda s: (-s.pledged, s.instance_id))
+    # Current lenders go first, so that lenders seldom change.
+    order = sorted(participants, key=lambda s: (-s.pledged, s.instance_id))
     taken = split_proportionally(
         {s.instance_id: spares[s.instance_id] for s in order}, lent
     )
     return {
         s.instance_id: s.own + given[s.instance_id] - taken[s.instance_id]
-        for s in standings
+        for s in participants
     }
 
 
 def fill_evenly(needs: dict[str, int], amount: int) -> dict[str, int]:
-    """Divides an amount so that the smallest part is as large as it can be.
+    """Divides an amount so that the smallest part is as large as possible.
 
     Args:
-      needs: most that each may have.
-      amount: what there is, at most the sum of the needs.
+      needs: upper bound of each part.
+      amount: amount to divide, at most the sum of the needs.
 
     Returns:
       Whole parts whose sum is the amount.
@@ -82,8 +82,8 @@
     """Divides an amount in proportion to weights.
 
     Args:
-      weights: most that each may have; the first ones round up.
-      amount: what there is, at most the sum of the weights.
+      weights: upper bound of each part; the first ones round up.
+      amount: amount to divide, at most the sum of the weights.
 
     Returns:
       Whole parts whose sum is the amount.
@@ -92,9 +92,9 @@
     if not total:
         return dict.fromkeys(weights, 0)
     parts = {name: amount * w // total for name, w in weights.items()}
-    rest = amount - sum(parts.values())
+    remainder = amount - sum(parts.values())
     for name, weight in weights.items():
-        if rest and parts[name] < weight:
+        if remainder and parts[name] < weight:
             parts[name] += 1
-            rest -= 1
+            remainder -= 1
     return parts
--- a/rhubarblock/routing/limitbucket.py
+++ b/rhubarblock/routing/limitbucket.py
@@ -1,27 +1,27 @@
-"""Token bucket with debt: one limit of one entry at one instance.
+"""A token bucket with debt: one limit of one entry at one instance.
 
 A request may cost far more than a shallow bucket holds. It is admitted while
-nothing is owed, and what the bucket lacks is owed and paid at the rate before
-the next one. Prompts over the long threshold owe in a lane of their own that
-takes at most half of the rate, so that short ones go on meanwhile.
+there is no debt, and the missing part becomes a debt that the rate pays off
+before the next request. Prompts over the long threshold have a separate debt
+that is paid with at most half of the rate, so short prompts go on in parallel.
 """
 
 import math
 
-# The bucket holds what its rate yields in this time, in seconds. All buckets
-# of a limit together then exceed it by at most 1.5% in ten seconds.
+# Seconds of the rate that the bucket holds. All buckets of a limit together
+# then exceed it by at most 1.5% in ten seconds.
 DEPTH_S = 0.15
-# Share of the rate that pays for long prompts while short ones need the rest.
+# Part of the rate that pays for long prompts while short ones need the rest.
 LONG_PART = 0.5
 
 
 class Bucket:
-    """Amounts in units of the limit, such as tokens; times in seconds."""
+    """A token bucket; amounts in units of the limit, times in seconds."""
 
     __slots__ = ("_at_s", "_debt", "_depth", "_level", "_rate")
 
     def __init__(self, now_s: float):
-        """Creates a bucket that gains nothing until it has a rate."""
+        """Creates a bucket that fills only once it has a rate."""
         self._at_s = now_s
         self._rate = 0.0
         self._depth = 0.0
@@ -30,22 +30,22 @@
 
     @property
     def rate(self) -> float:
-        """Units gained a second."""
+        """Units added each second."""
         return self._rate
 
     @property
     def unpaid(self) -> float:
-        """Units admitted but not paid yet, short and long."""
+        """Units admitted but not paid yet, by short and long prompts."""
         return self._debt - min(self._level, 0.0)
 
     def set_rate(self, rate: float) -> None:
-        """Sets the rate from the last settled moment on."""
+        """Sets the rate from the last settled time on."""
         self._rate = rate
         self._depth = rate * DEPTH_S
         self._level = min(self._level, self._depth)
 
     def settle(self, now_s: float) -> None:
-        """Gains what the rate yields up to a moment."""
+        """Adds what the rate yields up to a time, and pays debts with it."""
         gain = (now_s - self._at_s) * self._rate
         self._at_s = now_s
         if self._debt:
@@ -55,7 +55,7 @@
         level = self._level + gain
         if level > self._depth:
             if self._debt:
-                # What short prompts leave over pays for long ones too.
+                # The overflow of the bucket pays for long prompts, too.
                 self._debt = max(0.0, self._debt - (level - self._depth))
             level = self._depth
         self._level = level
@@ -64,11 +64,11 @@
         """Returns the seconds until the next request can be admitted.
 
         Args:
-          long: whether it goes to the lane of long prompts.
+          long: whether the request is over the long threshold.
 
         Returns:
-          0 when it can be admitted now, infinity without a rate. It is an
-          upper bound while both lanes owe.
+          0 if it can be admitted now, infinity without a rate. An upper bound
+          while both short and long prompts have debts.
         """
         if not self._rate:
             return math.inf
@@ -80,14 +80,14 @@
         return -self._level / (self._rate * part)
 
     def charge(self, cost: float, long: bool) -> None:
-        """Takes the cost of an admitted request."""
+        """Deducts the cost of an admitted request."""
         if long:
             self._debt += cost
         else:
             self._level -= cost
 
     def refund(self, cost: float, long: bool) -> None:
-        """Gives back a part of an earlier charge that was not used."""
+        """Returns an unused part of an earlier charge."""
         if long:
             self._debt = max(0.0, self._debt - cost)
         else:
--- a/rhubarblock/routing/limitdemand.py
+++ b/rhubarblock/routing/limitdemand.py
@@ -1,29 +1,29 @@
 """Measures how much of an entry's limits one instance could use.
 
-Requests that the share refuses count as well: without them an instance whose
-share is too small would never be seen to need more.
+Refused requests count as well: otherwise an instance with too small a share
+would never appear to need more.
 """
 
 from rhubarblock.core import catalogue as catalogues
 from rhubarblock.routing import limitshare
 
-# Shortest time over which offered load is measured, in seconds.
+# Shortest time over which the offered load is measured, in seconds.
 WINDOW_S = 1.0
-# What is left of the last window's demand in the next one: the share of an
-# instance between two bursts shrinks over two seconds and not at once.
+# Part of a window's demand that carries over into the next one: between two
+# bursts the share of an instance shrinks over two seconds and not at once.
 _DECAY = 0.3
-# A silence shows that no requests come any more when it is as long as this
-# many of them took before, and lasts this time in seconds.
+# A pause means that requests have stopped if it lasts at least this time in
+# seconds, and as long as so many requests took before.
 _SILENT_REQUESTS = 5.0
 _SILENT_S = 0.3
-# Demand asked for beyond the measured one, as arrivals are not even.
+# Ratio of the requested to the measured demand, as arrivals are uneven.
 _HEADROOM = 1.25
-# Time in which what is owed should be paid, in seconds.
+# Time in which debts should be paid, in seconds.
 _PAY_S = 4.0
 
 
 class DemandMeter:
-    """Offered load of one entry at one instance."""
+    """Measures the offered load of one entry at one instance."""
 
     __slots__ = (
         "_last_part",
@@ -53,7 +53,7 @@
         self._tokens += tokens
 
     def count_missed(self) -> None:
-        """Counts a long prompt that found no slot."""
+        """Counts a long prompt that found no free slot."""
         self._missed += 1
 
     def measure(
@@ -63,13 +63,13 @@
         long_held: int,
         now_s: float,
     ) -> limitshare.Demand:
-        """Returns the present demand, and begins a window when one is over.
+        """Returns the current demand, and starts a new window if one is over.
 
         Args:
           limits: limits of the entry.
           unpaid_tokens: tokens admitted but not paid yet.
-          long_held: long prompts that run.
-          now_s: monotonic time.
+          long_held: long prompts that are running.
+          now_s: current time in monotonic seconds.
         """
         elapsed_s = max(now_s - self._since_s, WINDOW_S)
         part = max(
@@ -81,7 +81,7 @@
             part = 0.0
         missed = max(self._missed, self._missed_before)
         if now_s - self._since_s >= WINDOW_S:
-            self._begin_window(part, now_s)
+            self._start_window(part, now_s)
         owed = _divide(unpaid_tokens, limits.tokens_per_s * _PAY_S)
         wanted = max(part, owed)
         return limitshare.Demand(
@@ -98,7 +98,7 @@
             return False
         return silence_s * self._last_rate > _SILENT_REQUESTS
 
-    def _begin_window(self, part: float, now_s: float) -> None:
+    def _start_window(self, part: float, now_s: float) -> None:
         self._last_part = part
         self._last_rate = self._requests / (now_s - self._since_s)
         self._missed_before = self._missed
--- a/rhubarblock/routing/limitentry.py
+++ b/rhubarblock/routing/limitentry.py
@@ -9,13 +9,13 @@
 
 
 class EntryLimiter:
-    """Buckets and slots of one institution or workspace.
+    """Token buckets and long-prompt slots of one institution or workspace.
 
     Attributes:
       key: name of the entry.
       limits: limits in force.
       meter: measures the demand.
-      long_held: long prompts that run.
+      long_held: long prompts that are running.
     """
 
     __slots__ = (
@@ -57,28 +57,28 @@
         return self._requests.unpaid
 
     def change_limits(self, limits: catalogues.Limits, now_s: float) -> None:
-        """Puts new limits in force."""
+        """Applies new limits."""
         self.settle(now_s)
         self.limits = limits
         self.refresh_share(now_s)
 
     def refresh_share(self, now_s: float) -> None:
-        """Puts the present share in force."""
+        """Applies the current share."""
         self.settle(now_s)
-        self._adopt(self._shares.read_share(self.key, self.limits, now_s))
+        self._apply_share(self._shares.read_share(self.key, self.limits, now_s))
 
     def settle(self, now_s: float) -> None:
-        """Gains what the shares yielded up to now.
+        """Fills the buckets up to now, by the shares of the elapsed time.
 
-        A share ends at the moment at which it lapsed, also when nobody looked
-        then: a paused instance must not go on with a share that others have.
+        A share ends when it expires, even if nothing ran at that moment: a
+        paused instance must not go on with a share that others have by then.
         """
         while now_s >= self._share.until_s:
-            lapsed_s = self._share.until_s
-            self._requests.settle(lapsed_s)
-            self._tokens.settle(lapsed_s)
-            self._adopt(
-                self._shares.read_share(self.key, self.limits, lapsed_s)
+            expired_s = self._share.until_s
+            self._requests.settle(expired_s)
+            self._tokens.settle(expired_s)
+            self._apply_share(
+                self._shares.read_share(self.key, self.limits, expired_s)
             )
         self._requests.settle(now_s)
         self._tokens.settle(now_s)
@@ -87,11 +87,12 @@
         """Settles, and returns the seconds until the next request fits.
 
         Args:
-          now_s: monotonic time.
-          long: whether it is over the long threshold.
+          now_s: current time in monotonic seconds.
+          long: whether the request is over the long threshold.
 
         Returns:
-          0 when it fits now, infinity when that depends on others.
+          0 if it fits now, infinity if that depends on other requests or
+          instances.
         """
         self.settle(now_s)
         if long and not self._has_slot():
@@ -106,7 +107,7 @@
         return wait_s
 
     def charge(self, tokens: int, long: bool, now_s: float) -> None:
-        """Takes the cost of an admitted request and counts it as offered."""
+        """Charges an admitted request and counts it as offered load."""
         self.meter.count_offer(tokens, now_s)
         if self.limits.requests_per_s:
             self._requests.charge(1.0, False)
@@ -116,7 +117,7 @@
             self.long_held += 1
 
     def release(self, unused_tokens: int, long: bool) -> None:
-        """Frees what an ended request held and did not use."""
+        """Frees the slot and the unused tokens of a request that ended."""
         if unused_tokens and self.limits.tokens_per_s:
             self._tokens.refund(unused_tokens, long)
         if long:
@@ -129,7 +130,7 @@
             self.meter.count_missed()
 
     def measure_demand(self, now_s: float) -> limitshare.Demand:
-        """Returns the present demand."""
+        """Returns the current demand."""
         self.settle(now_s)
         return self.meter.measure(
             self.limits, self._tokens.unpaid, self.long_held, now_s
@@ -140,7 +141,7 @@
             return True
         return self.long_held < self._share.long_slots
 
-    def _adopt(self, share: limitshare.Share) -> None:
+    def _apply_share(self, share: limitshare.Share) -> None:
         self._share = share
         part = share.units / limitshare.SHARE_UNITS
         self._requests.set_rate(self.limits.requests_per_s * part)
--- a/rhubarblock/routing/limits.py
+++ b/rhubarblock/routing/limits.py
@@ -1,8 +1,8 @@
 """Admits requests within the limits of their institution and workspace.
 
-The limits hold over all instances together; this instance works with the
-share of them that ``routing.lending`` finds for it. How over-use is counted
-is told in docs/design/limits.md.
+The limits hold for all instances together; this instance works with the share
+that ``routing.lending`` obtains for it. docs/design/limits.md explains how
+excess use is counted.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,8 @@
 from rhubarblock.routing import limitentry
 from rhubarblock.routing import limitshare
 
-# When others decide how long a caller has to wait: two rounds of lending.
+# Seconds after which a caller should retry if the wait depends on other
+# instances: two lending rounds.
 LENDING_RETRY_S = 2.0
 # Waits below this, in seconds, are rounding errors.
 _NO_WAIT_S = 1e-6
@@ -29,11 +30,11 @@
 
 @dataclasses.dataclass(slots=True)
 class LimitCounters:
-    """What the limiter counted since its start.
+    """Counters of the limiter since its start.
 
     Attributes:
       admitted: requests admitted.
-      delayed: those of them that are to be held back for a while.
+      delayed: admitted requests that are held back for a while.
       refused: requests refused, by the key of the entry that refused.
     """
 
@@ -43,10 +44,10 @@
 
 
 class Ticket:
-    """The right of one request to run; closed when it ended.
+    """The right of one request to run; closed when the request ends.
 
     Attributes:
-      delay_s: seconds for which the request is to be held back.
+      delay_s: seconds for which the request must be held back.
     """
 
     __slots__ = ("_closed", "_entries", "_long", "delay_s")
@@ -63,10 +64,10 @@
         self.delay_s = delay_s
 
     def close(self, unused_tokens: int = 0) -> None:
-        """Frees the slot of a long prompt; further calls do nothing.
+        """Frees the slot of a long prompt; further calls have no effect.
 
         Args:
-          unused_tokens: tokens that were charged and never computed, such as
+          unused_tokens: tokens that were charged but never computed, such as
             output that the model did not generate.
         """
         if self._closed:
@@ -110,20 +111,20 @@
         long: bool,
         max_delay_s: float = 0.0,
     ) -> result.Result[Ticket, failures.Failure]:
-        """Admits a request within every limit, or charges none.
+        """Admits a request within all limits, or charges none of them.
 
         Args:
           institution: name of the institution.
           workspace: name of the workspace, ``institution/name``.
           request_class: urgency class, named in a refusal.
-          tokens: prompt tokens and the most output tokens.
+          tokens: prompt tokens plus the largest number of output tokens.
           long: whether the prompt is over the long threshold.
-          max_delay_s: longest time that the request may be held back before
-            it runs; the ticket says how long it has to be.
+          max_delay_s: longest time for which the request may be held back
+            before it runs; the ticket contains the actual delay.
 
         Returns:
-          A ticket, or LIMIT_EXCEEDED with the seconds after which the
-          limit that refused has room again if nobody else takes it.
+          A ticket, or LIMIT_EXCEEDED with the seconds after which the limit
+          that refused can admit a request if no other one is admitted first.
         """
         now_s = self._timers.read_monotonic()
         catalogue = self._catalogue()
@@ -218,7 +219,7 @@
         long: bool,
         max_delay_s: float,
     ) -> failures.Failure:
-        """Counts a refusal towards the entries that caused it only."""
+        """Counts a refusal, only at the entries that caused it."""
         now_s = self._timers.read_monotonic()
         worst = entries[0]
         worst_s = 0.0
@@ -250,7 +251,7 @@
 def list_limited_entries(
     catalogue: catalogues.Catalogue,
 ) -> dict[str, catalogues.Limits]:
-    """Returns the limits of each entry that has some, by its name."""
+    """Returns the limits of each entry that has any, by its name."""
     everything = {
         **{i.name: i.limits for i in catalogue.institutions.values()},
         **{w.name: w.limits for w in catalogue.workspaces.values()},
--- a/rhubarblock/routing/limitshare.py
+++ b/rhubarblock/routing/limitshare.py
@@ -1,7 +1,7 @@
-"""What part of each limit one instance may use, and where that comes from.
+"""What part of each limit one instance may use, and who provides it.
 
 A limit holds for all instances together, so each works with a share of it.
-Shares are whole numbers, so that their sum is exact.
+Shares are integers, so that their sum is exact.
 """
 
 import abc
@@ -10,18 +10,18 @@
 
 from rhubarblock.core import catalogue as catalogues
 
-# A whole limit a second, of requests and of tokens, in units of shares.
+# Share units that make up the whole rate limit, of requests and of tokens.
 SHARE_UNITS = 1_000_000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Share:
-    """Part of the limits of one entry.
+    """A part of the limits of one entry.
 
     Attributes:
       units: part of each rate, in ``SHARE_UNITS``.
-      long_slots: long prompts that may run at one time.
-      until_s: monotonic time at which it lapses.
+      long_slots: long prompts that may run concurrently.
+      until_s: monotonic time at which it expires.
     """
 
     units: int
@@ -38,8 +38,8 @@
 
     Attributes:
       units: part of the rates, in ``SHARE_UNITS``.
-      long_slots: long prompts that run or were refused lately.
-      long_held: long prompts that run.
+      long_slots: long prompts that are running or were refused recently.
+      long_held: long prompts that are running.
     """
 
     units: int = 0
@@ -55,7 +55,7 @@
 
     @abc.abstractmethod
     def refresh_share(self, key: str) -> None:
-        """Hears that the share of an entry changed at this moment."""
+        """Called when the share of an entry has changed."""
 
     @abc.abstractmethod
     def collect_demands(self) -> dict[str, Demand]:
@@ -67,35 +67,35 @@
 
 
 class Shares(abc.ABC):
-    """Knows the shares of one instance."""
+    """Provides the shares of one instance."""
 
     @abc.abstractmethod
     def attach(self, user: ShareUser) -> None:
-        """Connects the user of the shares, once."""
+        """Connects the user of the shares; called once."""
 
     @abc.abstractmethod
     def read_share(
         self, key: str, limits: catalogues.Limits, at_s: float
     ) -> Share:
-        """Returns the share of an entry that holds at a moment.
+        """Returns the share of an entry that applies at a given time.
 
         Args:
           key: name of an institution or of a workspace.
           limits: the limits of the entry.
-          at_s: monotonic time; a moment past asks what followed a share that
-            lapsed then.
+          at_s: monotonic time; may be the past time at which a share expired,
+            to get the one that followed.
 
         Returns:
-          The share; it lapses after ``at_s``.
+          The share; it expires after ``at_s``.
         """
 
     @abc.abstractmethod
     def ask_for_more(self, key: str) -> None:
-        """Hears that the share of an entry did not suffice just now."""
+        """Called when the share of an entry was just insufficient."""
 
 
 class FixedShares(Shares):
-    """The same part of every limit for ever, for one of equal instances."""
+    """A constant part of every limit, for one of several equal instances."""
 
     __slots__ = ("_number", "_total")
 
@@ -104,13 +104,13 @@
 
         Args:
           total: number of instances.
-          number: which of them, from 0.
+          number: index of this instance, from 0.
         """
         self._total = total
         self._number = number
 
     def attach(self, user: ShareUser) -> None:
-        del user  # Nothing ever changes.
+        del user  # Fixed shares never change.
 
     def read_share(
         self, key: str, limits: catalogues.Limits, at_s: float
@@ -123,12 +123,12 @@
 
 
 def divide_evenly(limits: catalogues.Limits, total: int, number: int) -> Share:
-    """Returns one of equal parts, whose sum over all numbers is the limit.
+    """Returns one of equal parts; the sum of all parts is the limit.
 
     Args:
       limits: limits of the entry.
       total: number of parts.
-      number: which one, from 0.
+      number: index of the part, from 0.
     """
     return Share(
         units=_divide_whole(SHARE_UNITS, total, number),
@@ -137,5 +137,5 @@
 
 
 def _divide_whole(amount: int, total: int, number: int) -> int:
-    quotient, rest = divmod(amount, total)
-    return quotient + (1 if number < rest else 0)
+    quotient, remainder = divmod(amount, total)
+    return quotient + (1 if number < remainder else 0)
--- a/rhubarblock/routing/placement/__init__.py
+++ b/rhubarblock/routing/placement/__init__.py
@@ -1,10 +1,13 @@
-"""Where a prompt runs: engines, parts, and when it begins.
+"""Placement of prompts: on which engines a prompt runs, and when it starts.
 
-Others place prompts through a policy: ``promptpolicy`` with ``prompt`` for
-engines that work in passes, ``policy`` with ``answer`` for all others. Read on
-in ``enginebook`` and ``engineview`` (what an engine has before it),
-``lateness`` (what waiting costs), ``partplan`` and ``parting`` (which engines
-read which part, and when), then in ``loadtable``, ``predictor``,
-``prefixindex`` and ``segments``, and in ``coordination`` (placements that one
-instance decides for others).
+Callers place prompts through a policy: ``promptpolicy`` with ``prompt`` for
+engines that work in forward passes, ``policy`` with ``decision`` for others.
+
+For the first kind, ``jobtracker`` tracks the jobs placed on each engine,
+``engineview`` predicts what a further job would do to them, ``latencycost``
+puts a price on delays, and ``partplan`` and ``parting`` choose the engines, the
+parts and the start. For the second kind, ``loadtable`` holds the load reports,
+``predictor`` the times, ``prefixindex`` the prefix caches, and ``segments``
+splits large prompts. ``coordination`` asks the instance that coordinates a pool
+for a placement.
 """
--- a/rhubarblock/routing/placement/coordination.py
+++ b/rhubarblock/routing/placement/coordination.py
@@ -1,9 +1,10 @@
-"""Asks the coordinator of a pool for a placement, or decides alone.
+"""Places prompts through the coordinator of a pool, or alone without it.
 
-The coordinator of a pool is one instance, by rendezvous hashing over the live
-ones. It knows every grant that it gave, so two instances do not choose the
-same idle engine at once. Two coordinators for a while only make choices less
-good. When it can't be reached in time the instance decides from its own view.
+The coordinator of a pool is one instance, chosen by rendezvous hashing over the
+live ones. It knows every grant that it gave, so two instances do not choose the
+same idle engine at once. Two concurrent coordinators only make placements
+worse. If the coordinator is unreachable, the instance decides from its own load
+table.
 """
 
 from collections.abc import Callable
@@ -19,13 +20,13 @@
 
 PLACE_KIND = "placement.place"
 PROGRESS_KIND = "placement.progress"
-# Seconds to wait for a coordinator before deciding alone.
+# Seconds to wait for the coordinator before the instance decides alone.
 PLACE_TIMEOUT_S = 0.05
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Coordinator:
-    """The instance that places for a pool at present."""
+    """The instance that currently places prompts for a pool."""
 
     instance_id: str
     address: str
@@ -54,14 +55,14 @@
         find_coordinator: Callable[[str], Coordinator],
         metrics: metric_store.Metrics,
     ):
-        """Creates the client and answers for this instance as coordinator.
+        """Creates the client and registers the handlers of a coordinator.
 
         Args:
           instance_id: this instance.
           ledger: grants that this instance counts.
           policy: placement policy in force.
           peers: transport to other instances.
-          find_coordinator: gives the coordinator of an engine service.
+          find_coordinator: returns the coordinator of an engine service.
           metrics: counters.
         """
         self._instance_id = instance_id
@@ -72,11 +73,11 @@
         self._metrics = metrics
         self._remote: dict[str, str] = {}
         self._pending: dict[str, list[placement_pb2.Progress]] = {}
-        peers.register(PLACE_KIND, self._answer_place)
-        peers.register(PROGRESS_KIND, self._answer_progress)
+        peers.register(PLACE_KIND, self._handle_place)
+        peers.register(PROGRESS_KIND, self._handle_progress)
 
     def list_engines(self, query: placements.PlacementQuery) -> list[str]:
-        """Returns the engines that compute prompts of a model at present."""
+        """Returns the engines that prefill prompts of a model at present."""
         loads = self._ledger.table.list_loads(query.service, query.model)
         return [
             load.endpoint.endpoint_id
@@ -89,7 +90,8 @@
     ) -> bool:
         """Says whether an engine could hold a prompt and its answer now.
 
-        One that no single engine can ever hold may go anywhere.
+        Also true for a prompt that can never fit into this engine: it is split,
+        so it may run anywhere.
         """
         if not self._fits(query, endpoint_id):
             return True
@@ -106,12 +108,12 @@
         """Places a prompt.
 
         Args:
-          grant_id: name by which it is released.
-          query: what is to be placed.
-          only_endpoint: engine that a suspect has to run on, or None.
+          grant_id: id by which the grant is released.
+          query: the prompt to place.
+          only_endpoint: engine on which a suspect request has to run, or None.
 
         Returns:
-          The placement, or None when nothing has room at present.
+          The placement, or None if no engine has room at present.
         """
         if only_endpoint is not None and self._fits(query, only_endpoint):
             placement = placements.Placement(only_endpoint, only_endpoint, 0)
@@ -123,7 +125,7 @@
         if coordinator.instance_id == self._instance_id:
             return self._place_alone(grant_id, query)
         try:
-            reply = await self._ask(coordinator, grant_id, query)
+            reply = await self._request_placement(coordinator, grant_id, query)
         except peertransport.PeerError:
             self._metrics.count("placement.alone")
             return self._place_alone(grant_id, query)
@@ -135,18 +137,18 @@
         return placement
 
     def end_prefill(self, grant_id: str) -> None:
-        """Tells that the prompt of a grant has been computed."""
+        """Records and reports that the prefill of a grant is done."""
         self._ledger.end_prefill(grant_id)
-        self._note(grant_id, finished=False)
+        self._queue_progress(grant_id, finished=False)
 
     def release(self, grant_id: str) -> None:
-        """Tells that a grant is over; repeating it is harmless."""
+        """Records and reports that a grant is over; this is idempotent."""
         self._ledger.release(grant_id)
-        self._note(grant_id, finished=True)
+        self._queue_progress(grant_id, finished=True)
         self._remote.pop(grant_id, None)
 
     async def send_progress(self) -> None:
-        """Sends the collected progress; a tick of the timer service."""
+        """Sends the collected progress; the timer service calls this."""
         pending, self._pending = self._pending, {}
         for address, progress in pending.items():
             report = placement_pb2.ProgressReport(progress=progress)
@@ -163,7 +165,7 @@
         self._ledger.collect_expired()
 
     def _fits(self, query: placements.PlacementQuery, endpoint_id: str) -> bool:
-        """Says whether one engine can ever hold a prompt and its answer."""
+        """Says whether one engine could ever hold a prompt and its answer."""
         load = self._ledger.table.find(endpoint_id)
         if load is None:
             return False
@@ -174,7 +176,7 @@
     ) -> placements.Placement | None:
         return self._ledger.place(grant_id, query, self._instance_id)
 
-    def _note(self, grant_id: str, finished: bool) -> None:
+    def _queue_progress(self, grant_id: str, finished: bool) -> None:
         address = self._remote.get(grant_id)
         if address is not None:
             progress = placement_pb2.Progress(
@@ -182,7 +184,7 @@
             )
             self._pending.setdefault(address, []).append(progress)
 
-    async def _ask(
+    async def _request_placement(
         self,
         coordinator: Coordinator,
         grant_id: str,
@@ -206,7 +208,7 @@
         )
         return placement_pb2.PlaceReply.FromString(payload)
 
-    async def _answer_place(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_place(self, sender: str, payload: bytes) -> bytes:
         request = placement_pb2.PlaceRequest.FromString(payload)
         query = placements.PlacementQuery(
             request_id=request.grant_id,
@@ -221,7 +223,7 @@
         placement = self._ledger.place(request.grant_id, query, sender)
         return write_reply(placement).SerializeToString()
 
-    async def _answer_progress(self, sender: str, payload: bytes) -> bytes:
+    async def _handle_progress(self, sender: str, payload: bytes) -> bytes:
         report = placement_pb2.ProgressReport.FromString(payload)
         for progress in report.progress:
             if progress.finished:
@@ -234,7 +236,7 @@
 def write_reply(
     placement: placements.Placement | None,
 ) -> placement_pb2.PlaceReply:
-    """Returns the message that stands for a placement, or for none."""
+    """Encodes a placement, or None, as a reply."""
     if placement is None:
         return placement_pb2.PlaceReply(found=False)
     return placement_pb2.PlaceReply(
@@ -251,7 +253,7 @@
 
 
 def read_reply(reply: placement_pb2.PlaceReply) -> placements.Placement:
-    """Returns the placement that a reply with ``found`` stands for."""
+    """Decodes the placement from a reply with ``found`` set."""
     return placements.Placement(
         prefill_id=reply.prefill_id,
         decode_id=reply.decode_id,
--- a/rhubarblock/routing/placement/coordination_test.py
+++ b/rhubarblock/routing/placement/coordination_test.py
@@ -1,4 +1,4 @@
-"""Placement by a coordinator, and alone when it cannot be reached."""
+"""Tests of placement by a coordinator, and alone if it is unreachable."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class Node:
-    """One instance; ``one`` is the coordinator in the view of both."""
+    """One instance; both instances take ``one`` for the coordinator."""
 
     def __init__(self, network, name, policy):
         self.peers = network.join(f"{name}:1", name)
@@ -49,7 +49,7 @@
     return virtualloop.run(main())
 
 
-def test_coordinator_keeps_two_instances_from_the_same_engine():
+def test_coordinator_gives_two_instances_different_engines():
     async def body(network, one, two):
         placed = [
             await node.client.place(f"{number}/{number}", _LONG)
@@ -67,7 +67,7 @@
     assert (counts, rest) == ([2, 2], [0, 0])
 
 
-def test_policy_that_needs_no_coordinator_asks_nobody():
+def test_policy_that_needs_no_coordinator_sends_no_messages():
     async def body(network, one, two):
         placed = await two.client.place("r/1", _LONG)
         return placed is not None, two.peers.traffic.messages_sent
@@ -76,7 +76,7 @@
 
 
 def test_instance_decides_alone_when_the_coordinator_is_unreachable():
-    """It was cut off, or paused, or it died."""
+    """Covers a network partition, a paused and a dead coordinator."""
 
     async def body(network, one, two):
         placed = []
@@ -113,7 +113,7 @@
     assert run(body) == ([0, 0], {"placement.progress_lost": 1})
 
 
-def test_reply_carries_a_whole_placement():
+def test_reply_round_trip_keeps_the_placement():
     placement = placements.Placement(
         "c",
         "d",
--- a/rhubarblock/routing/placement/decision.py
+++ b/rhubarblock/routing/placement/decision.py
@@ -1,6 +1,6 @@
-"""Where a prompt is to run: the answer of a policy.
+"""The query to a placement policy and the placement that it returns.
 
-A placement names endpoints only; the relay turns it into attempts.
+A placement only names endpoints; the relay turns it into attempts.
 """
 
 import dataclasses
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PlacementQuery:
-    """What a policy needs to know of a request.
+    """What a policy needs to know about a request.
 
     Attributes:
-      request_id: request to be placed.
+      request_id: request to place.
       service: engine service of its model.
       model: model name.
       prompt_tokens: length of the prompt in tokens.
-      max_tokens: most tokens still to be generated.
+      max_tokens: largest number of tokens still to generate.
       slack_s: seconds until the deadline.
       prefix_blocks: chained digests of the first blocks of the prompt.
       avoid: endpoints that failed an earlier attempt of this request.
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Segment:
-    """One part of a prompt that is larger than an engine.
+    """One part of a prompt that does not fit into a single engine.
 
     Attributes:
       endpoint_id: engine that computes and holds the part.
@@ -46,14 +46,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Placement:
-    """Endpoints chosen for one attempt of a prompt.
+    """The endpoints chosen for one attempt of a prompt.
 
     Attributes:
-      prefill_id: engine that computes the prompt, or its last segment.
-      decode_id: engine that generates; the same one when not handed over.
-      priority: priority for the engines; smaller runs first.
-      segments: earlier segments of a prompt larger than an engine.
-      expected_wait_s: predicted wait before the prompt is computed.
+      prefill_id: engine that prefills the prompt, or its last segment.
+      decode_id: engine that decodes; equal to ``prefill_id`` unless the KV
+        cache moves.
+      priority: priority at the engines; the smaller one runs first.
+      segments: earlier segments of a prompt that does not fit into one engine.
+      expected_wait_s: predicted seconds until the prefill begins.
     """
 
     prefill_id: str
@@ -68,7 +69,7 @@
         return self.decode_id != self.prefill_id
 
     def list_endpoints(self) -> tuple[str, ...]:
-        """Returns every endpoint that takes part, without repeats."""
+        """Returns every endpoint involved, without duplicates."""
         names = [segment.endpoint_id for segment in self.segments]
         names += [self.prefill_id, self.decode_id]
         return tuple(dict.fromkeys(names))
--- a/rhubarblock/routing/placement/engineview.py
+++ b/rhubarblock/routing/placement/engineview.py
@@ -1,9 +1,9 @@
-"""One engine as a placement sees it: what it would do, and to whom.
+"""A snapshot of one engine, and what a further part would cost the jobs there.
 
-A part of a prompt takes something from those who are at its engine already: it
-makes the pauses of answers that are written there longer, and goes before
-reading that was placed earlier. A view foretells both, in the unit of
-``lateness``.
+A part of a prompt slows down the jobs that are at its engine already: it
+lengthens the pauses of the answers that are decoded there, and it preempts
+prefills that were placed earlier. A view predicts both, in the cost unit of
+``latencycost``.
 """
 
 import dataclasses
@@ -11,33 +11,33 @@
 from rhubarblock.core import listed as lists
 from rhubarblock.core import route as routes
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import lateness
+from rhubarblock.routing.placement import latencycost
 
-# Seconds until an engine that only reads turns to a new part: half of the
-# piece of a long prompt that it reads at once.
+# Seconds until an engine that only prefills turns to a new part: half of the
+# time for the chunk of a long prompt that it processes at once.
 TURN_S = 0.03
-# Seconds within which what is placed at an engine that writes is read in one
-# pass: about the length of a pass that reads nothing.
+# Parts placed within these seconds at an engine that decodes are prefilled in
+# one pass: about the length of a pass without any prefill.
 SAME_PASS_S = 0.05
 
 
-class Outlook:
-    """When each job that is still being read will be, as of one moment.
+class PrefillForecast:
+    """When the prefill of each job will be done, as of one moment.
 
     Attributes:
       now_s: the moment, in monotonic seconds.
     """
 
-    __slots__ = ("_tracker", "_finishes", "now_s")
+    __slots__ = ("_finishes", "_tracker", "now_s")
 
     def __init__(self, tracker: jobtracker.JobTracker, now_s: float):
-        """Starts without having looked at any job."""
+        """Starts empty; predictions are computed on demand and cached."""
         self._tracker = tracker
         self._finishes: dict[str, float] = {}
         self.now_s = now_s
 
     def predict_finish(self, placed: jobtracker.PlacedJob) -> float:
-        """Returns the seconds until a job is read to its end."""
+        """Returns the seconds until the prefill of a job is done."""
         job_id = placed.job.job_id
         finish_s = self._finishes.get(job_id)
         if finish_s is None:
@@ -45,14 +45,14 @@
             self._finishes[job_id] = finish_s
         return finish_s
 
-    def weigh_later(
+    def compute_delay_cost(
         self, placed: jobtracker.PlacedJob, finish_s: float
     ) -> float:
-        """Returns what it costs that a job is read to its end later.
+        """Returns what it costs if the prefill of a job is done later.
 
         Args:
           placed: the job.
-          finish_s: seconds until then.
+          finish_s: seconds until its prefill would be done then.
         """
         job = placed.job
         before_s = self.predict_finish(placed)
@@ -60,111 +60,119 @@
             return 0.0
         since_s = self.now_s - placed.placed_s
         shares = [
-            lateness.weigh_delay(since_s + s, job.objective_s, job.pause_s)
+            latencycost.compute_delay_loss(
+                since_s + s, job.objective_s, job.pause_s
+            )
             for s in (before_s, finish_s)
         ]
-        return lateness.weigh_prompt(job.prompt_tokens) * (
+        return latencycost.compute_value(job.prompt_tokens) * (
             shares[1] - shares[0]
         )
 
 
 @dataclasses.dataclass(slots=True)
 class EngineView:
-    """An engine that may read a part.
+    """An engine that may prefill a part.
 
     Attributes:
       endpoint: the engine.
-      load: what it has before it.
-      outlook: when the jobs there will be read.
-      stride_s: seconds of a pass that reads nothing.
-      wait_s: seconds of reading that it has before it.
-      joint_s: the part of these that was placed within the present pass.
-      writes: whether it writes at present.
-      is_far: whether it stands in another data centre.
-      free_slots: places for further requests that write; below 0 where some
-        wait for one.
-      free_helps: others that it may read or hold memory for besides; below 0
-        where it does so for too many.
-      room: tokens of memory that are free.
+      load: the work that it has been given.
+      forecast: when the prefills there will be done.
+      decode_pass_s: seconds of a pass without any prefill.
+      wait_s: seconds of prefill in its backlog.
+      same_pass_s: seconds of the backlog that were placed within the present
+        pass.
+      is_decoding: whether it decodes at present.
+      is_remote: whether it is in another data centre.
+      free_slots: slots for further requests to decode; negative if some
+        requests wait for one.
+      free_helper_slots: further jobs of other engines that it may prefill or
+        hold memory for; negative if it has too many.
+      free_tokens: tokens of free memory.
     """
 
     endpoint: lists.ListedEndpoint
     load: jobtracker.EngineLoad
-    outlook: Outlook
-    stride_s: float
+    forecast: PrefillForecast
+    decode_pass_s: float
     wait_s: float
-    joint_s: float
-    writes: bool
-    is_far: bool
+    same_pass_s: float
+    is_decoding: bool
+    is_remote: bool
     free_slots: int
-    free_helps: int
-    room: int
+    free_helper_slots: int
+    free_tokens: int
 
     def predict_end(self, prefill_s: float) -> float:
-        """Returns the seconds until it has read a part that is placed now."""
-        if self.writes:
+        """Returns the seconds until a part that is placed now is prefilled."""
+        if self.is_decoding:
             return (
-                max(self.wait_s, self.stride_s / 2) + self.stride_s + prefill_s
+                max(self.wait_s, self.decode_pass_s / 2)
+                + self.decode_pass_s
+                + prefill_s
             )
         return prefill_s + (TURN_S if self.wait_s else 0.0)
 
     def predict_pause(self, prefill_s: float, finish_s: float) -> float:
-        """Returns the first pause of an answer that is to be written here.
+        """Returns the first pause of an answer that would be decoded here.
 
         Args:
-          prefill_s: seconds that its own part here takes.
-          finish_s: seconds until all of its parts are read.
+          prefill_s: prefill seconds of its own part here.
+          finish_s: seconds until all of its parts are prefilled.
         """
-        if self.writes:
-            return self.stride_s
+        if self.is_decoding:
+            return self.decode_pass_s
         idle_s = max(0.0, finish_s - prefill_s)
-        return self.stride_s + max(0.0, self.wait_s - idle_s)
+        return self.decode_pass_s + max(0.0, self.wait_s - idle_s)
 
-    def weigh_pauses(self, prefill_s: float) -> float:
-        """Returns what a part costs those whose answers are written here.
+    def compute_pause_cost(self, prefill_s: float) -> float:
+        """Returns what a part costs the answers that are decoded here.
 
-        Those that are predicted to be late already count as well: predictions
-        err, and further parts would come to where they are.
+        Answers that are predicted to be late anyway count as well: predictions
+        err, and further parts would otherwise pile up on the engines of late
+        answers.
         """
         cost = 0.0
-        calm_s = self.stride_s + self.joint_s
+        pass_s = self.decode_pass_s + self.same_pass_s
         for placed in self.load.jobs.values():
-            if placed.writes:
-                before_s, after_s = calm_s, calm_s + prefill_s
+            if placed.is_decoding:
+                before_s, after_s = pass_s, pass_s + prefill_s
             else:
-                finish_s = self.outlook.predict_finish(placed)
-                before_s = self.stride_s
+                finish_s = self.forecast.predict_finish(placed)
+                before_s = self.decode_pass_s
                 after_s = before_s + max(0.0, prefill_s - finish_s)
             pause_s = placed.job.pause_s
-            share = lateness.weigh_pause(after_s, pause_s)
-            share -= lateness.weigh_pause(before_s, pause_s)
-            cost += share * lateness.weigh_prompt(placed.job.prompt_tokens)
+            share = latencycost.compute_pause_loss(after_s, pause_s)
+            share -= latencycost.compute_pause_loss(before_s, pause_s)
+            cost += share * latencycost.compute_value(placed.job.prompt_tokens)
         return cost
 
     def list_delayed(
         self, prefill_s: float
     ) -> list[tuple[jobtracker.PlacedJob, float]]:
-        """Returns the jobs that a part goes before, and when they end then."""
-        if self.writes:
+        """Returns the jobs that a part preempts, and when they end then."""
+        if self.is_decoding:
             return []
         ends = []
         end_s = prefill_s
-        for read in reversed(self.load.prefills):
-            end_s += read.left_s
-            ends.append((read.placed, end_s))
+        for prefill in reversed(self.load.prefills):
+            end_s += prefill.left_s
+            ends.append((prefill.placed, end_s))
         return ends
 
-    def weigh(self, prefill_s: float) -> float:
-        """Returns what a part costs all who are here, in short prompts."""
-        return self.weigh_pauses(prefill_s) + weigh_delayed([self], prefill_s)
+    def compute_cost(self, prefill_s: float) -> float:
+        """Returns what a part costs all jobs here, in short prompts."""
+        return self.compute_pause_cost(prefill_s) + compute_delayed_cost(
+            [self], prefill_s
+        )
 
 
-def weigh_delayed(parts: list[EngineView], prefill_s: float) -> float:
-    """Returns what parts cost the jobs that they go before, each one once.
+def compute_delayed_cost(parts: list[EngineView], prefill_s: float) -> float:
+    """Returns what parts cost the jobs that they preempt, each job once.
 
     Args:
-      parts: the engines that read one part each; at least one.
-      prefill_s: seconds that a part takes.
+      parts: the engines that prefill one part each; at least one.
+      prefill_s: prefill seconds of a part.
     """
     ends: dict[str, tuple[jobtracker.PlacedJob, float]] = {}
     for part in parts:
@@ -172,35 +180,36 @@
             job_id = placed.job.job_id
             if job_id not in ends or ends[job_id][1] < end_s:
                 ends[job_id] = (placed, end_s)
-    outlook = parts[0].outlook
+    forecast = parts[0].forecast
     return sum(
-        outlook.weigh_later(placed, end_s) for placed, end_s in ends.values()
+        forecast.compute_delay_cost(placed, end_s)
+        for placed, end_s in ends.values()
     )
 
 
 def view_engine(
     endpoint: lists.ListedEndpoint,
     load: jobtracker.EngineLoad,
-    outlook: Outlook,
+    forecast: PrefillForecast,
     model: routes.EngineCostModel,
     data_centre: str,
     memory_part: float,
 ) -> EngineView:
-    """Looks at one engine; its book must have been settled."""
-    now_s = outlook.now_s
-    joint_s = sum(
-        read.left_s
-        for read in load.prefills
-        if now_s - read.placed_s < SAME_PASS_S
+    """Creates the view of one engine; its load must have been settled."""
+    now_s = forecast.now_s
+    same_pass_s = sum(
+        prefill.left_s
+        for prefill in load.prefills
+        if now_s - prefill.placed_s < SAME_PASS_S
     )
     return EngineView(
         endpoint,
         load,
-        outlook,
+        forecast,
         load.predict_stride(model),
         load.predict_wait(now_s),
-        joint_s,
-        load.writes,
+        same_pass_s,
+        load.is_decoding,
         endpoint.data_centre != data_centre,
         model.slots - len(load.jobs),
         model.slots - load.count_helped(),
--- a/rhubarblock/routing/placement/engineview_test.py
+++ b/rhubarblock/routing/placement/engineview_test.py
@@ -1,4 +1,4 @@
-"""Each test is who is at an engine, and what a part there takes from them."""
+"""Tests of what a further part costs the jobs at an engine."""
 
 import pytest
 
@@ -26,75 +26,77 @@
 
 
 def view(tracker, now_s):
-    outlook = engineview.Outlook(tracker, now_s)
+    forecast = engineview.PrefillForecast(tracker, now_s)
     for name in ("a", "b"):
         tracker.find(name).settle(now_s)
     return engineview.view_engine(
-        ENGINE, tracker.find("a"), outlook, fakes.MODEL, "osu", 0.95
+        ENGINE, tracker.find("a"), forecast, fakes.MODEL, "osu", 0.95
     )
 
 
-def test_idle_engine_costs_nobody_anything():
+def test_part_on_an_idle_engine_costs_nothing():
     idle = view(jobtracker.JobTracker(), 1.0)
-    assert idle.weigh(5.0) == 0.0
+    assert idle.compute_cost(5.0) == 0.0
     assert idle.predict_end(0.5) == 0.5
 
 
-def test_part_costs_a_writer_its_pause():
+def test_part_lengthens_the_pause_of_a_decoding_job():
     tracker = jobtracker.JobTracker()
     add(tracker, "short", 0.02)
     busy = view(tracker, 1.0)
-    assert busy.weigh(0.05) == 0.0
-    assert busy.weigh(0.5) == pytest.approx(0.75 * 2.0)
+    assert busy.compute_cost(0.05) == 0.0
+    assert busy.compute_cost(0.5) == pytest.approx(0.75 * 2.0)
 
 
-def test_part_costs_a_writer_nothing_that_allows_a_longer_pause():
+def test_part_costs_nothing_within_the_allowed_pause():
     tracker = jobtracker.JobTracker()
     add(tracker, "long", 0.02, pause_s=0.8)
-    assert view(tracker, 1.0).weigh(0.4) == 0.0
+    assert view(tracker, 1.0).compute_cost(0.4) == 0.0
 
 
-def test_part_costs_a_writer_its_pause_though_it_may_be_late_already():
+def test_pause_cost_counts_for_a_job_that_may_be_late_anyway():
     tracker = jobtracker.JobTracker()
     add(tracker, "short", 0.02)
     add(tracker, "long", 0.5, ("b", "a"), 0.8, 3.0, placed_s=0.95)
-    # What was placed a pass ago is read already and leaves the next one free.
-    assert view(tracker, 1.05).weigh_pauses(0.5) == pytest.approx(0.75 * 2.0)
+    # The part placed one pass ago is done and does not lengthen the next one.
+    assert view(tracker, 1.05).compute_pause_cost(0.5) == pytest.approx(
+        0.75 * 2.0
+    )
 
 
-def test_part_goes_before_older_reading_and_delays_it():
+def test_part_preempts_an_older_prefill_and_delays_it():
     tracker = jobtracker.JobTracker()
     add(tracker, "reading", 1.0, ("b", "a"), 0.8, 2.0)
-    reader = view(tracker, 0.1)
-    assert reader.predict_end(0.5) == pytest.approx(0.53)
-    assert reader.weigh(0.2) < 0.1
-    assert reader.weigh(2.0) == pytest.approx(1.58)
+    prefilling = view(tracker, 0.1)
+    assert prefilling.predict_end(0.5) == pytest.approx(0.53)
+    assert prefilling.compute_cost(0.2) < 0.1
+    assert prefilling.compute_cost(2.0) == pytest.approx(1.58)
 
 
-def test_part_that_ends_before_the_others_delays_nobody():
+def test_part_that_is_done_before_the_other_parts_costs_nothing():
     tracker = jobtracker.JobTracker()
     add(tracker, "reading", 0.2, ("b", "a"), 0.8, 2.0)
     add(tracker, "longer", 1.5, ("b",), 0.8, 9.0)
-    # What was placed later at the other engine keeps it waiting in any case.
-    reader = view(tracker, 0.0)
-    assert reader.outlook.weigh_later(
+    # The later job at the other engine delays it in any case.
+    prefilling = view(tracker, 0.0)
+    assert prefilling.forecast.compute_delay_cost(
         tracker.find("b").jobs["reading"], 1.7
     ) == pytest.approx(0.0)
 
 
-def test_answer_written_over_older_reading_pauses_for_it():
+def test_answer_pauses_for_an_older_prefill_at_its_engine():
     tracker = jobtracker.JobTracker()
     add(tracker, "giant", 1.8, ("b", "a"), 0.8, 3.0)
-    reader = view(tracker, 0.0)
-    assert reader.predict_pause(0.2, 0.2) > 1.8
-    # While its other parts are read elsewhere the old reading goes on.
-    assert reader.predict_pause(0.2, 1.2) == pytest.approx(0.84, abs=0.05)
+    prefilling = view(tracker, 0.0)
+    assert prefilling.predict_pause(0.2, 0.2) > 1.8
+    # The old prefill goes on while the other parts are prefilled elsewhere.
+    assert prefilling.predict_pause(0.2, 1.2) == pytest.approx(0.84, abs=0.05)
 
 
-def test_engine_that_writes_has_read_the_old_before_a_new_answer():
+def test_decoding_engine_finishes_old_prefills_before_a_new_answer():
     tracker = jobtracker.JobTracker()
     add(tracker, "writer", 0.02)
     add(tracker, "giant", 1.8, ("b", "a"), 0.8, 3.0, placed_s=0.05)
-    writer = view(tracker, 0.1)
-    assert writer.predict_end(0.2) > 1.7 + 0.2
-    assert writer.predict_pause(0.2, 2.0) < 0.1
+    decoding = view(tracker, 0.1)
+    assert decoding.predict_end(0.2) > 1.7 + 0.2
+    assert decoding.predict_pause(0.2, 2.0) < 0.1
--- a/rhubarblock/routing/placement/jobtracker.py
+++ b/rhubarblock/routing/placement/jobtracker.py
@@ -1,9 +1,10 @@
-"""What each engine has before it, as far as this instance knows.
+"""Tracks the jobs placed on each engine and predicts the engine's backlog.
 
-An engine works in passes: a pass takes one step for each token that it writes
-and reads prompts between the steps, so reading makes the pauses of those who
-write there longer. The book holds what this instance and its peers placed,
-and predicts from it how long an engine's next pass lasts.
+An engine works in forward passes: a pass takes one step for each token that it
+decodes and prefills prompts between the steps, so a prefill lengthens the
+pauses of the answers that are decoded there. The tracker holds the jobs placed
+by this instance and its peers and predicts how long an engine's next pass will
+last.
 """
 
 from collections.abc import Callable
@@ -14,9 +15,9 @@
 
 from rhubarblock.core import route as routes
 
-# Seconds after which a job whose end nobody told is forgotten: twice the
-# longest time that a caller waits in the deployments known today.
-FORGET_S = 30.0
+# Seconds after which a job is dropped although its end was never announced:
+# twice the longest time that callers wait in known deployments.
+JOB_TTL_S = 30.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -25,9 +26,9 @@
 
     Attributes:
       endpoint_id: the engine.
-      prefill_s: seconds of reading.
-      tokens: memory that it holds until the prompt's end; 0 where another
-        engine keeps what was read.
+      prefill_s: seconds of prefill.
+      tokens: memory that it holds until the job ends; 0 if another engine keeps
+        the KV cache of this part.
     """
 
     endpoint_id: str
@@ -40,13 +41,13 @@
     """A prompt that was placed.
 
     Attributes:
-      job_id: unique over all instances.
-      parts: where it is read; the first one also writes the answer.
-      pause_s: longest pause between its events that is on time, in seconds;
-        0 where any is.
-      prompt_tokens: length of the whole prompt; 0 where it is not known.
-      objective_s: seconds from its placement in which a first event is on
-        time; 0 where it is not known.
+      job_id: unique across all instances.
+      parts: the engines that prefill it; the first one also decodes the answer.
+      pause_s: longest pause between its events that counts as on time, in
+        seconds; 0 for no limit.
+      prompt_tokens: length of the whole prompt; 0 if unknown.
+      objective_s: seconds from its placement within which the first event is on
+        time; 0 if unknown.
     """
 
     job_id: str
@@ -57,48 +58,48 @@
 
     @property
     def endpoint_id(self) -> str:
-        """The engine that writes the answer."""
+        """The engine that decodes the answer."""
         return self.parts[0].endpoint_id
 
 
 class PlacedJob:
-    """A job in the book.
+    """A job that the tracker holds.
 
     Attributes:
-      job: what was placed.
-      placed_s: when, in monotonic seconds.
-      prefills: what is left of its reading, a line for each engine.
+      job: the placed job.
+      placed_s: when it was placed, in monotonic seconds.
+      prefills: the remaining prefill at each engine.
     """
 
     __slots__ = ("job", "placed_s", "prefills")
 
     def __init__(self, job: Job, placed_s: float):
-        """Starts with all of its reading before it."""
+        """Starts with the whole prefill remaining."""
         self.job = job
         self.placed_s = placed_s
-        self.prefills = [Read(self, part, placed_s) for part in job.parts]
+        self.prefills = [Prefill(self, part, placed_s) for part in job.parts]
 
     @property
-    def writes(self) -> bool:
-        """Whether all of it is read, so that its answer is being written."""
-        return all(read.left_s <= 0.0 for read in self.prefills)
+    def is_decoding(self) -> bool:
+        """Whether its prefill is done, so that its answer is being decoded."""
+        return all(prefill.left_s <= 0.0 for prefill in self.prefills)
 
 
-class Read:
-    """What an engine has to read and to hold for a job.
+class Prefill:
+    """What an engine has to prefill and to hold for a job.
 
     Attributes:
       placed: the job.
       endpoint_id: the engine.
-      left_s: seconds of reading that are left.
-      tokens: memory that it holds until the job's end.
-      placed_s: when it was placed, in monotonic seconds.
+      left_s: remaining seconds of prefill.
+      tokens: memory that it holds until the job ends.
+      placed_s: when the job was placed, in monotonic seconds.
     """
 
     __slots__ = ("endpoint_id", "left_s", "placed", "placed_s", "tokens")
 
     def __init__(self, placed: PlacedJob, part: Part, placed_s: float):
-        """Starts unread."""
+        """Starts with the whole part remaining."""
         self.placed = placed
         self.endpoint_id = part.endpoint_id
         self.left_s = part.prefill_s
@@ -107,183 +108,186 @@
 
 
 class EngineLoad:
-    """What one engine has before it.
+    """The work that one engine has been given.
 
-    An engine reads what came last first: a part for another engine goes before
-    its other reading. While it writes, all that waits is read in one pass.
+    An engine prefills the latest arrival first: a part for another engine
+    preempts its other prefills. While it decodes, all waiting prefills go into
+    one pass.
 
     Attributes:
-      prefills: reading that is left, the latest last.
-      jobs: what it writes, or will write, by job id.
-      helps: its part of what others write, by job id.
+      prefills: remaining prefills, the latest last.
+      jobs: jobs that it decodes, or will decode, by job id.
+      helper_prefills: its parts of jobs that other engines decode, by job id.
       tokens: tokens of memory in use.
     """
 
-    __slots__ = ("_settled_s", "helps", "jobs", "prefills", "tokens")
+    __slots__ = ("_settled_s", "helper_prefills", "jobs", "prefills", "tokens")
 
     def __init__(self) -> None:
         self._settled_s = 0.0
-        self.helps: dict[str, Read] = {}
-        self.prefills: list[Read] = []
+        self.helper_prefills: dict[str, Prefill] = {}
+        self.prefills: list[Prefill] = []
         self.jobs: dict[str, PlacedJob] = {}
         self.tokens = 0
 
     @property
-    def writes(self) -> bool:
-        """Whether it writes at present, and so reads in long passes."""
-        return any(placed.writes for placed in self.jobs.values())
+    def is_decoding(self) -> bool:
+        """Whether it decodes at present, and so prefills in long passes."""
+        return any(placed.is_decoding for placed in self.jobs.values())
 
     def count_helped(self) -> int:
-        """Returns how many others it reads or holds memory for at present."""
+        """Counts other engines' jobs that it prefills or holds memory for."""
         return sum(
-            1 for read in self.helps.values() if read.left_s > 0 or read.tokens
+            1
+            for prefill in self.helper_prefills.values()
+            if prefill.left_s > 0 or prefill.tokens
         )
 
     def settle(self, now_s: float) -> None:
-        """Takes off what was read since the last time."""
+        """Deducts the prefill done since the last call."""
         spent_s = max(0.0, now_s - self._settled_s)
         self._settled_s = max(now_s, self._settled_s)
         while self.prefills and spent_s > 0.0:
-            read = self.prefills[-1]
-            taken_s = min(spent_s, read.left_s)
-            read.left_s -= taken_s
+            prefill = self.prefills[-1]
+            taken_s = min(spent_s, prefill.left_s)
+            prefill.left_s -= taken_s
             spent_s -= taken_s
-            if read.left_s <= 0.0:
+            if prefill.left_s <= 0.0:
                 self.prefills.pop()
 
-    def settle_from(self, load: "EngineLoad", now_s: float) -> None:
-        """Settles reading that was copied from another load."""
+    def settle_copy(self, load: "EngineLoad", now_s: float) -> None:
+        """Settles prefills that were copied from another load."""
         self._settled_s = load._settled_s
         self.settle(now_s)
 
     def predict_wait(self, now_s: float) -> float:
-        """Returns the seconds of reading that lie before it."""
+        """Returns the seconds of prefill in its backlog."""
         self.settle(now_s)
-        return sum(read.left_s for read in self.prefills)
+        return sum(prefill.left_s for prefill in self.prefills)
 
     def predict_stride(self, model: routes.EngineCostModel) -> float:
-        """Returns the seconds of a pass that reads nothing."""
+        """Returns the seconds of a pass without any prefill."""
         return model.predict_stride(len(self.jobs), self.tokens)
 
-    def sum_newer(self, read: Read) -> float:
-        """Returns the seconds of a read and of all that goes before it."""
+    def sum_prefills_from(self, prefill: Prefill) -> float:
+        """Returns the seconds of a prefill and of all that go before it."""
         total_s = 0.0
         for other in reversed(self.prefills):
             total_s += other.left_s
-            if other is read:
+            if other is prefill:
                 break
         return total_s
 
     def drop(self, placed: PlacedJob) -> None:
-        """Forgets the reading of a job that ended."""
+        """Drops the prefills of a job that ended."""
         self.prefills = [
-            read for read in self.prefills if read.placed is not placed
+            prefill for prefill in self.prefills if prefill.placed is not placed
         ]
 
 
 class JobTracker:
-    """Loads of all engines."""
+    """The jobs placed on all engines, and the loads that follow from them."""
 
-    __slots__ = ("_ends", "_jobs", "_loads", "_watchers")
+    __slots__ = ("_expiries", "_jobs", "_loads", "_watchers")
 
     def __init__(self) -> None:
         self._loads: dict[str, EngineLoad] = {}
         self._jobs: dict[str, PlacedJob] = {}
-        self._ends: dict[str, float] = {}
+        self._expiries: dict[str, float] = {}
         self._watchers: dict[str, list[Callable[[], None]]] = {}
 
     def find(self, endpoint_id: str) -> EngineLoad:
-        """Returns the load of an engine; an unknown one has none."""
+        """Returns the load of an engine; an unknown engine has an empty one."""
         load = self._loads.get(endpoint_id)
         if load is None:
             load = self._loads[endpoint_id] = EngineLoad()
         return load
 
     def add(self, job: Job, now_s: float) -> None:
-        """Takes in a job that was placed."""
+        """Adds a placed job; one that is tracked already is ignored."""
         if job.job_id in self._jobs:
             return
         placed = PlacedJob(job, now_s)
         self._jobs[job.job_id] = placed
-        self._ends[job.job_id] = now_s + FORGET_S
+        self._expiries[job.job_id] = now_s + JOB_TTL_S
         self.find(job.endpoint_id).jobs[job.job_id] = placed
-        for part, read in zip(job.parts, placed.prefills, strict=True):
+        for part, prefill in zip(job.parts, placed.prefills, strict=True):
             load = self.find(part.endpoint_id)
             load.settle(now_s)
             load.tokens += part.tokens
-            load.prefills.append(read)
+            load.prefills.append(prefill)
             if part.endpoint_id != job.endpoint_id:
-                load.helps[job.job_id] = read
+                load.helper_prefills[job.job_id] = prefill
         for part in job.parts:
             for callback in list(self._watchers.get(part.endpoint_id, ())):
                 callback()
 
     def look_ahead(self, at_s: float) -> "JobTracker":
-        """Returns the book as it will be if nothing comes or ends until then.
+        """Returns the expected state at a later time if no job starts or ends.
 
         Args:
-          at_s: a moment to come, in monotonic seconds.
+          at_s: the later time, in monotonic seconds.
         """
         later = JobTracker()
         for placed in self._jobs.values():
             later.copy_job(placed)
         for endpoint_id, load in self._loads.items():
-            later.copy_reads(endpoint_id, load, at_s)
+            later.copy_prefills(endpoint_id, load, at_s)
         return later
 
     def copy_job(self, placed: PlacedJob) -> None:
-        """Takes in a job of another book, without its reading."""
+        """Adds a job of another tracker, without its prefills."""
         job = placed.job
         copied = PlacedJob(job, placed.placed_s)
-        for read in copied.prefills:
-            read.left_s = 0.0
+        for prefill in copied.prefills:
+            prefill.left_s = 0.0
         self._jobs[job.job_id] = copied
         self.find(job.endpoint_id).jobs[job.job_id] = copied
-        for read in copied.prefills[1:]:
-            self.find(read.endpoint_id).helps[job.job_id] = read
+        for prefill in copied.prefills[1:]:
+            self.find(prefill.endpoint_id).helper_prefills[job.job_id] = prefill
 
-    def copy_reads(
+    def copy_prefills(
         self, endpoint_id: str, load: EngineLoad, at_s: float
     ) -> None:
-        """Takes in what an engine of another book will still have to read."""
+        """Adds the prefills that an engine of another tracker has remaining."""
         copied = self.find(endpoint_id)
         copied.tokens = load.tokens
-        for read in load.prefills:
-            placed = self._jobs[read.placed.job.job_id]
-            for own in placed.prefills:
-                if own.endpoint_id == endpoint_id:
-                    own.left_s = read.left_s
-                    copied.prefills.append(own)
-        copied.settle_from(load, at_s)
+        for prefill in load.prefills:
+            placed = self._jobs[prefill.placed.job.job_id]
+            for copy in placed.prefills:
+                if copy.endpoint_id == endpoint_id:
+                    copy.left_s = prefill.left_s
+                    copied.prefills.append(copy)
+        copied.settle_copy(load, at_s)
 
     def predict_finish(self, placed: PlacedJob, now_s: float) -> float:
-        """Returns the seconds until a job is read to its end."""
+        """Returns the seconds until the prefill of a job is done."""
         return max(
-            (self._predict_end(read, now_s) for read in placed.prefills),
+            (self._predict_end(prefill, now_s) for prefill in placed.prefills),
             default=0.0,
         )
 
-    def _predict_end(self, read: Read, now_s: float) -> float:
-        load = self.find(read.endpoint_id)
+    def _predict_end(self, prefill: Prefill, now_s: float) -> float:
+        load = self.find(prefill.endpoint_id)
         load.settle(now_s)
-        if read.left_s <= 0.0:
+        if prefill.left_s <= 0.0:
             return 0.0
-        if load.writes:
+        if load.is_decoding:
             return load.predict_wait(now_s)
-        return load.sum_newer(read)
+        return load.sum_prefills_from(prefill)
 
     @contextlib.contextmanager
     def watch(
         self, endpoint_id: str, callback: Callable[[], None]
     ) -> Iterator[None]:
-        """Calls back after each further job placed at an engine.
+        """Calls a function after each further job that is placed on an engine.
 
         Args:
           endpoint_id: the engine.
-          callback: must not place anything itself.
+          callback: must not place a job itself.
 
         Yields:
-          Nothing; it is called while the context is open.
+          Nothing; the callback is called while the context is open.
         """
         callbacks = self._watchers.setdefault(endpoint_id, [])
         callbacks.append(callback)
@@ -295,32 +299,32 @@
                 self._watchers.pop(endpoint_id, None)
 
     def remove(self, job_id: str) -> None:
-        """Takes in the end of a job."""
+        """Removes a job that ended; an unknown one is ignored."""
         placed = self._jobs.pop(job_id, None)
         if placed is None:
             return
-        del self._ends[job_id]
+        del self._expiries[job_id]
         self.find(placed.job.endpoint_id).jobs.pop(job_id, None)
-        for read in placed.prefills:
-            load = self.find(read.endpoint_id)
-            load.tokens -= read.tokens
-            load.helps.pop(job_id, None)
+        for prefill in placed.prefills:
+            load = self.find(prefill.endpoint_id)
+            load.tokens -= prefill.tokens
+            load.helper_prefills.pop(job_id, None)
             load.drop(placed)
 
     def remove_source(self, source: str) -> None:
-        """Takes in that what placed jobs is no more, and so are they.
+        """Removes all jobs of a source that is gone, such as an instance.
 
         Args:
-          source: what the ids of its jobs begin with, before the last dot.
+          source: prefix of its job ids, up to the last dot.
         """
         for job_id in [j for j in self._jobs if j.rpartition(".")[0] == source]:
             self.remove(job_id)
 
     def remove_engine(self, endpoint_id: str) -> None:
-        """Takes in that an engine started anew and holds nothing of before.
+        """Clears an engine that restarted.
 
-        What it was writing is over; what it was reading or holding for others
-        is gone, though they may not know it yet.
+        The jobs that it was decoding are over. What it prefilled or held for
+        other engines is lost, although those may not have noticed yet.
         """
         load = self._loads.get(endpoint_id)
         if load is None:
@@ -328,19 +332,21 @@
         for job_id in list(load.jobs):
             self.remove(job_id)
         for placed in self._jobs.values():
-            for read in placed.prefills:
-                if read.endpoint_id == endpoint_id:
-                    read.left_s = 0.0
-                    read.tokens = 0
+            for prefill in placed.prefills:
+                if prefill.endpoint_id == endpoint_id:
+                    prefill.left_s = 0.0
+                    prefill.tokens = 0
         del self._loads[endpoint_id]
 
     def expire(self, now_s: float) -> None:
-        """Forgets jobs whose end was never told."""
-        for job_id in [j for j, end_s in self._ends.items() if end_s <= now_s]:
+        """Removes the jobs that exceeded ``JOB_TTL_S``."""
+        for job_id in [
+            j for j, end_s in self._expiries.items() if end_s <= now_s
+        ]:
             self.remove(job_id)
 
     def keep_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Forgets engines that are not there any more."""
+        """Forgets unlisted engines without jobs and without memory in use."""
         kept = set(endpoint_ids)
         for endpoint_id in [e for e in self._loads if e not in kept]:
             load = self._loads[endpoint_id]
--- a/rhubarblock/routing/placement/jobtracker_test.py
+++ b/rhubarblock/routing/placement/jobtracker_test.py
@@ -10,7 +10,7 @@
 )
 
 
-def test_parts_keep_their_engines_busy_one_after_the_other():
+def test_prefills_add_up_and_shrink_with_time():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 10.0)
     tracker.add(jobtracker.Job("j2", (jobtracker.Part("b", 0.5),), 0.0), 10.1)
@@ -18,23 +18,23 @@
     assert round(tracker.find("b").predict_wait(10.1), 3) == 0.6
     assert round(tracker.find("b").predict_wait(10.6), 3) == 0.1
     assert tracker.find("b").predict_wait(11.0) == 0.0
-    # A clock that is read late takes nothing back.
+    # An earlier time does not restore the backlog.
     assert tracker.find("b").predict_wait(10.0) == 0.0
 
 
-def test_only_the_first_engine_writes():
+def test_only_the_first_engine_decodes():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 0.0)
     assert list(tracker.find("a").jobs) == ["j1"]
     assert not tracker.find("b").jobs
-    assert not tracker.find("a").writes
+    assert not tracker.find("a").is_decoding
     tracker.find("a").settle(0.2)
     tracker.find("b").settle(0.2)
-    assert tracker.find("a").writes
-    assert not tracker.find("b").writes
+    assert tracker.find("a").is_decoding
+    assert not tracker.find("b").is_decoding
 
 
-def test_memory_is_free_again_after_the_end():
+def test_memory_is_freed_when_the_job_ends():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 0.0)
     assert tracker.find("a").tokens == 5_000
@@ -44,7 +44,7 @@
     assert not tracker.find("a").jobs
 
 
-def test_job_that_is_told_twice_counts_once():
+def test_job_that_is_announced_twice_counts_once():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 0.0)
     tracker.add(JOB, 0.1)
@@ -52,7 +52,7 @@
     assert round(tracker.find("a").predict_wait(0.0), 3) == 0.2
 
 
-def test_job_whose_end_nobody_told_is_forgotten():
+def test_job_whose_end_was_never_announced_expires():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 0.0)
     tracker.expire(29.9)
@@ -61,19 +61,19 @@
     assert not tracker.find("a").jobs
 
 
-def test_watcher_hears_of_each_part_at_its_engine():
+def test_watcher_is_called_for_each_part_at_its_engine():
     tracker = jobtracker.JobTracker()
-    heard = []
-    with tracker.watch("b", lambda: heard.append("b")):
+    called = []
+    with tracker.watch("b", lambda: called.append("b")):
         tracker.add(JOB, 0.0)
         tracker.add(
             jobtracker.Job("j2", (jobtracker.Part("c", 1.0),), 0.0), 0.0
         )
     tracker.add(jobtracker.Job("j3", (jobtracker.Part("b", 1.0),), 0.0), 0.0)
-    assert heard == ["b"]
+    assert called == ["b"]
 
 
-def test_engines_that_left_are_forgotten_unless_something_runs_there():
+def test_unlisted_engines_are_forgotten_once_their_jobs_ended():
     tracker = jobtracker.JobTracker()
     tracker.add(JOB, 0.0)
     tracker.keep_only(["c"])
@@ -89,28 +89,28 @@
     return tracker.find(names[0]).jobs[job_id]
 
 
-def test_what_comes_last_is_read_first():
+def test_latest_arrival_is_prefilled_first():
     tracker = jobtracker.JobTracker()
     old = add_job(tracker, "old", 1.0, ["a", "b"], 0.0)
     new = add_job(tracker, "new", 0.25, ["a"], 0.5)
     assert tracker.predict_finish(new, 0.5) == 0.25
-    # Half of the old one is left, behind the new one.
+    # Half of the old prefill remains, and the new one goes first.
     assert tracker.predict_finish(old, 0.5) == 0.75
     assert tracker.predict_finish(old, 0.75) == 0.5
-    assert new.writes
-    assert not old.writes
+    assert new.is_decoding
+    assert not old.is_decoding
 
 
-def test_engine_that_writes_reads_all_that_waits_in_one_pass():
+def test_decoding_engine_prefills_all_waiting_parts_in_one_pass():
     tracker = jobtracker.JobTracker()
     add_job(tracker, "writer", 0.1, ["a"], 0.0)
     add_job(tracker, "old", 1.0, ["b", "a"], 0.2)
     new = add_job(tracker, "new", 0.25, ["c", "a"], 0.2)
-    assert tracker.find("a").writes
+    assert tracker.find("a").is_decoding
     assert tracker.predict_finish(new, 0.2) == 1.25
 
 
-def test_end_of_a_job_gives_back_the_time_that_it_would_have_taken():
+def test_end_of_a_job_removes_its_remaining_prefill():
     tracker = jobtracker.JobTracker()
     old = add_job(tracker, "old", 1.0, ["a"], 0.0)
     add_job(tracker, "new", 2.0, ["b", "a"], 0.0)
@@ -120,7 +120,7 @@
     assert tracker.find("b").predict_wait(0.0) == 0.0
 
 
-def test_engine_that_started_anew_holds_nothing_of_before():
+def test_restarted_engine_has_no_jobs_and_no_memory_in_use():
     tracker = jobtracker.JobTracker()
     part = jobtracker.Part("a", 1.0, 5_000)
     tracker.add(jobtracker.Job("own", (part,), 0.2), 0.0)
@@ -147,7 +147,7 @@
 
 
 @hypothesis.given(strategies.lists(STEPS, max_size=12))
-def test_book_holds_whatever_comes_in_any_order(steps):
+def test_predictions_stay_consistent_after_any_sequence_of_events(steps):
     tracker = jobtracker.JobTracker()
     now_s = 0.0
     for verb, number, names, span_s in steps:
--- a/rhubarblock/routing/placement/loadtable.py
+++ b/rhubarblock/routing/placement/loadtable.py
@@ -1,9 +1,9 @@
-"""What one instance believes about the load of each engine.
+"""What one instance estimates about the load of each engine.
 
-Load reports lag, so each is corrected by what this instance placed since: a
-grant counts from the moment it is given until it is released, and what the
-report says beyond our own grants is taken to shrink at the engine's rate.
-Everything here is soft state; a wrong belief costs time and nothing else.
+Load reports arrive late, so each is corrected by what this instance placed in
+the meantime: a grant counts from when it is given until it is released, and the
+load in a report beyond the own grants is assumed to shrink at the engine's
+prefill rate. All of this is soft state; a wrong estimate only costs time.
 """
 
 import dataclasses
@@ -11,27 +11,27 @@
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.routing.placement import prefixindex
 
-# Prompt tokens a second that an engine computes before anything was learned.
+# Prompt tokens a second that an engine is assumed to prefill.
 PRIOR_PREFILL_RATE = 36_000.0
-# How old a load report is when it arrives, in seconds.
+# Age of a load report on arrival, in seconds.
 REPORT_LAG_S = 0.5
-# Work left of a prompt that should be computed by now, in tokens.
-LEAST_REST_TOKENS = 400.0
-# A report older than this says nothing any more, in seconds.
+# Prompt tokens that stay counted for a prefill that is overdue to end.
+MIN_REMAINING_TOKENS = 400.0
+# Age in seconds from which a load report is ignored.
 REPORT_LIFETIME_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class Grant:
-    """A placement in progress on one endpoint.
+    """The load that one placement puts on one endpoint.
 
     Attributes:
       grant_id: request id and attempt number.
-      endpoint_id: engine it burdens.
+      endpoint_id: the engine.
       priority: its priority there.
-      prefill_tokens: prompt tokens that are taken to be still uncomputed.
-      kv_tokens: KV memory it will hold.
-      decodes: whether it generates tokens there.
+      prefill_tokens: estimated prompt tokens that are not computed yet.
+      kv_tokens: KV memory it will hold, in tokens.
+      decodes: whether it decodes there.
       granted_s: when it was given, in monotonic seconds.
     """
 
@@ -46,10 +46,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Backlog:
-    """Prompt tokens that an engine still has to compute.
+    """Prompt tokens that an engine still has to prefill.
 
     Attributes:
-      before: those computed before new work of a certain priority.
+      before: tokens that are computed before new work of a given priority.
       behind: number of prompts that the new work would delay.
     """
 
@@ -58,7 +58,7 @@
 
 
 class EndpointLoad:
-    """The belief about one engine."""
+    """The estimated load of one engine."""
 
     __slots__ = (
         "_advanced_s",
@@ -94,7 +94,7 @@
     def take_report(
         self, report: endpoints.LoadReport, now_s: float, lag_s: float
     ) -> None:
-        """Replaces the belief about the work of others by a new report."""
+        """Replaces the estimate of other instances' work by a new report."""
         measured_s = now_s - lag_s
         mine = [g for g in self.grants.values() if g.granted_s <= measured_s]
         self.advance(now_s)
@@ -112,7 +112,7 @@
         self.other_decodes = max(0, report.decoding - own_decodes)
 
     def serves(self, model: str) -> bool:
-        """Says whether a model is loaded, as far as the engine reported."""
+        """Says whether a model is loaded, according to the last report."""
         if model not in self._served:
             self._served[model] = any(
                 x.partition("@")[0] == model for x in self.models
@@ -120,11 +120,11 @@
         return self._served[model]
 
     def estimate_backlog(self, priority: int, now_s: float) -> Backlog:
-        """Estimates the work that new work of a priority would meet.
+        """Estimates the backlog that new work of a priority would find.
 
         Args:
           priority: priority of the new work; lower numbers go first.
-          now_s: present time in monotonic seconds.
+          now_s: current time in monotonic seconds.
         """
         self.advance(now_s)
         before = self._estimate_other_prefill(now_s)
@@ -139,18 +139,18 @@
         return Backlog(before, behind)
 
     def advance(self, now_s: float) -> None:
-        """Lets the engine compute, by its rate and by priority, until now.
+        """Assumes prefill progress up to now, by priority at the engine's rate.
 
-        What it is taken to have finished keeps a little work, until the
-        relay says that the first token came.
+        A grant that should be done keeps ``MIN_REMAINING_TOKENS`` until the
+        relay reports its first token.
         """
         spent = (now_s - self._advanced_s) * self.prefill_rate
         self._advanced_s = now_s
         if spent <= 0:
             return
         waiting = [x for x in self.grants.values() if x.prefill_tokens]
-        for grant in sorted(waiting, key=_order_by_priority):
-            done = min(spent, grant.prefill_tokens - LEAST_REST_TOKENS)
+        for grant in sorted(waiting, key=_get_priority_key):
+            done = min(spent, grant.prefill_tokens - MIN_REMAINING_TOKENS)
             if done > 0:
                 grant.prefill_tokens -= done
                 spent -= done
@@ -162,25 +162,25 @@
         return max(0.0, self.other_prefill - age_s * self.prefill_rate)
 
     def count_decodes(self) -> int:
-        """Counts the requests that generate tokens, or soon will."""
+        """Counts the requests that decode now or will soon."""
         own = sum(1 for grant in self.grants.values() if grant.decodes)
         return own + self.other_decodes
 
     def estimate_free_kv(self) -> int:
-        """Estimates the KV memory in tokens that nobody has claimed."""
+        """Estimates the KV memory that is not claimed, in tokens."""
         own = sum(grant.kv_tokens for grant in self.grants.values())
         return self.kv_capacity - own - self.other_kv
 
 
-def _order_by_priority(grant: Grant) -> tuple[int, float]:
+def _get_priority_key(grant: Grant) -> tuple[int, float]:
     return grant.priority, grant.granted_s
 
 
 class LoadTable:
-    """The beliefs about all engines that an instance places work on.
+    """The estimated loads of all engines that an instance places work on.
 
     Attributes:
-      prefixes: what the engines probably have cached.
+      prefixes: estimated contents of the engines' prefix caches.
     """
 
     __slots__ = ("_lag_s", "_loads", "prefixes")
@@ -193,7 +193,7 @@
     def set_endpoints(
         self, wanted: list[endpoints.Endpoint], kv_capacity: int
     ) -> None:
-        """Keeps exactly the given engines of a service, and what is known.
+        """Marks exactly the given engines as usable; keeps existing estimates.
 
         Args:
           wanted: engines that may be given work.
@@ -205,7 +205,7 @@
             if load is None:
                 load = EndpointLoad(endpoint, kv_capacity)
                 self._loads[endpoint.endpoint_id] = load
-            # A replaced engine has the same name and another address.
+            # A replaced engine keeps its name and has another address.
             load.endpoint = endpoint
         for name, load in self._loads.items():
             load.usable = name in names
@@ -234,11 +234,11 @@
         ]
 
     def find(self, endpoint_id: str) -> EndpointLoad | None:
-        """Returns the belief about one engine."""
+        """Returns the estimated load of an engine, None if it is unknown."""
         return self._loads.get(endpoint_id)
 
     def take_report(self, report: endpoints.LoadReport, now_s: float) -> None:
-        """Takes in a load report as it arrives."""
+        """Applies a load report that has just arrived."""
         load = self._loads.get(report.endpoint_id)
         if load is not None:
             self.prefixes.note_start(report.endpoint_id, report.start_id)
@@ -252,13 +252,13 @@
             load.grants[grant.grant_id] = grant
 
     def end_prefill(self, grant_id: str, endpoint_id: str) -> None:
-        """Marks that the prompt of a grant has been computed."""
+        """Marks the prefill of a grant as done."""
         load = self._loads.get(endpoint_id)
         if load is not None and grant_id in load.grants:
             load.grants[grant_id].prefill_tokens = 0
 
     def remove(self, grant_id: str, endpoint_id: str) -> None:
-        """Stops counting a grant; unknown ones are ignored."""
+        """Stops counting a grant; unknown grants are ignored."""
         load = self._loads.get(endpoint_id)
         if load is not None:
             load.grants.pop(grant_id, None)
--- a/rhubarblock/routing/placement/loadtable_test.py
+++ b/rhubarblock/routing/placement/loadtable_test.py
@@ -1,4 +1,4 @@
-"""What is believed of an engine's load, and the ledger over it."""
+"""Tests of the estimated engine loads and of the ledger on top of them."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 from rhubarblock.routing.placement import loadtable
 
 _RATE = loadtable.PRIOR_PREFILL_RATE
-_REST = loadtable.LEAST_REST_TOKENS
+_REMAINING = loadtable.MIN_REMAINING_TOKENS
 
 
 def make_table(
@@ -71,7 +71,7 @@
     return loadtable.Grant(name, "a", priority, tokens, tokens, True, granted_s)
 
 
-def test_grants_count_until_they_are_computed_by_priority():
+def test_grants_shrink_by_priority_as_they_are_prefilled():
     table = make_table("a")
     table.add(make_grant("long", 36_000, 36))
     table.add(make_grant("short", 3_600, 3))
@@ -80,7 +80,7 @@
     # In 0.2 s the engine computes 7,200 tokens, the short prompt first.
     later = load.estimate_backlog(36, 0.2)
     assert later == loadtable.Backlog(
-        _REST + 36_000 - (7_200 - 3_600 + _REST), 0
+        _REMAINING + 36_000 - (7_200 - 3_600 + _REMAINING), 0
     )
     table.end_prefill("short", "a")
     table.remove("long", "a")
@@ -89,21 +89,21 @@
     assert load.estimate_free_kv() == 400_000 - 3_600
 
 
-def test_report_counts_for_the_work_of_others_only():
+def test_own_grants_are_subtracted_from_a_report():
     table = make_table("a")
     table.add(make_grant("old", 10_000, granted_s=0.0))
     table.add(make_grant("new", 20_000, granted_s=0.9))
     report = make_report("a", prefill=60_000, kv=50_000, decoding=4)
     table.take_report(report, 1.0)
     load = table.find("a")
-    # The report is of 0.5 s: it has the old grant, and not the new one.
+    # The report was measured at 0.5 s, so it includes only the old grant.
     assert load.other_kv == 50_000 - 10_000
     assert load.other_decodes == 4 - 1
     before = load.estimate_backlog(0, 1.0).before
     assert before == load.other_prefill - 0.5 * _RATE
 
 
-def test_silent_engine_is_believed_to_have_computed_the_work_of_others():
+def test_expired_report_is_ignored():
     table = make_table("a")
     table.take_report(make_report("a", prefill=10_000_000), 1.0)
     load = table.find("a")
@@ -112,7 +112,7 @@
     assert load.estimate_backlog(0, 0.6 + lifetime_s).before == 0.0
 
 
-def test_engine_that_comes_back_keeps_its_grants():
+def test_engine_that_is_listed_again_keeps_its_grants():
     table = make_table("a", "b")
     table.add(make_grant())
     kept = [table.find("b").endpoint]
@@ -182,8 +182,7 @@
     assert virtualloop.run(main()) == [expected] * 3
 
 
-def test_engine_that_comes_back_elsewhere_is_reached_there():
-    """Its name stays in the list, and its address is a new one."""
+def test_replaced_engine_takes_its_new_address():
     table = make_table("a")
     before = table.find("a").endpoint
     moved = dataclasses.replace(before, address="10.9.9.9:8000")
--- a/rhubarblock/routing/placement/parting.py
+++ b/rhubarblock/routing/placement/parting.py
@@ -1,9 +1,9 @@
-"""Places a prompt now, or says that it had better begin a little later.
+"""The default prompt policy: splits prompts into parts and may defer them.
 
-Engines read what came last first, so a long prompt that is placed in the middle
-of a burst pushes back every shorter one that is being read, and is pushed back
-itself by all that come after it. If it waits in its instance until these are
-read, all of them are in time.
+Engines prefill the latest arrival first, so a long prompt that is placed in the
+middle of a burst delays every shorter one that is being prefilled, and is
+delayed itself by all that arrive after it. If it waits at its instance until
+those prefills are done, all of them are on time.
 """
 
 import dataclasses
@@ -15,27 +15,28 @@
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import promptpolicy
 
-# Least seconds that are left of an objective in what the book is told.
-SHORTEST_OBJECTIVE_S = 0.05
-# A later start is looked for if the best one now costs more than this, in short
-# prompts: about one answer in time.
-LATER_FROM_COST = 1.5
-# Shortest prompt, in seconds of reading by one engine, that may wait: others
-# take less from those at their engines than a later start could spare.
-LATER_FROM_READ_S = 0.8
-# Part of its objective up to which a prompt may have waited; what is left is
-# for its reading.
-LATER_PART = 0.6
-# Later starts that are compared, in seconds: from about a part of a prompt to
-# the objective of a long one.
-LATER_S = (0.2, 0.5, 1.0, 2.0)
-# What a later start must gain at least, in short prompts, as all that comes
-# meanwhile goes first.
-LATER_GAIN = 0.5
+# Smallest objective of a job, in seconds, when its prompt has used up the rest
+# by waiting.
+MIN_OBJECTIVE_S = 0.05
+# Deferring is considered if starting now costs more than this, in short
+# prompts: about one answer that is on time.
+DEFER_MIN_COST = 1.5
+# Shortest prompt that may be deferred, in seconds of prefill by one engine:
+# shorter ones cost the other jobs less than deferring could save.
+DEFER_MIN_PREFILL_S = 0.8
+# Part of its objective that a prompt may spend waiting; the rest is for its
+# prefill.
+MAX_WAIT_PART = 0.6
+# Deferrals that are compared, in seconds: from about the prefill of one part up
+# to the objective of a long prompt.
+START_DELAYS_S = (0.2, 0.5, 1.0, 2.0)
+# Smallest gain of a deferral, in short prompts, as all prompts that arrive in
+# the meantime go first.
+MIN_DEFER_GAIN = 0.5
 
 
 class Parter(promptpolicy.PromptPolicy):
-    """Places prompts by what the book of engines predicts."""
+    """Places prompts by the predictions of the job tracker."""
 
     plugin_name = "parted"
 
@@ -54,15 +55,15 @@
     def may_defer(
         self, prompt: prompts.Prompt, model: routes.EngineCostModel
     ) -> bool:
-        """Says whether a prompt is long, not begun, and has time left.
+        """Says whether a prompt is long, has not started and has time left.
 
-        Most are not, and need no look at any engine.
+        Most prompts are not, which saves the predictions for every engine.
         """
         if prompt.is_mid_stream:
             return False
-        if model.predict_prefill(prompt.prompt_tokens) < LATER_FROM_READ_S:
+        if model.predict_prefill(prompt.prompt_tokens) < DEFER_MIN_PREFILL_S:
             return False
-        return prompt.waited_s <= LATER_PART * prompt.objective_s
+        return prompt.waited_s <= MAX_WAIT_PART * prompt.objective_s
 
     def find_start_delay(
         self,
@@ -71,38 +72,39 @@
         model: routes.EngineCostModel,
         now_s: float,
     ) -> float:
-        """Returns the seconds after which a prompt had better begin.
+        """Returns the seconds by which a prompt's start should be deferred.
 
-        Answers a burst of long prompts: one that begins while engines read for
-        another delays both, and those who write there pause twice.
+        Handles bursts of long prompts: one that starts while the engines
+        prefill another delays both, and the answers that are decoded there
+        pause twice.
         """
         if not self.may_defer(prompt, model):
             return 0.0
         plan = partplan.choose_plan(
             self._tracker, self._data_centre, prompt, engines, model, now_s
         )
-        if plan is None or plan.cost < LATER_FROM_COST:
+        if plan is None or plan.cost < DEFER_MIN_COST:
             return 0.0
-        least = plan.cost - LATER_GAIN
+        least = plan.cost - MIN_DEFER_GAIN
         start_s = 0.0
-        for later_s in LATER_S:
-            plan = self._plan_later(prompt, engines, model, now_s, later_s)
+        for delay_s in START_DELAYS_S:
+            plan = self._plan_deferred(prompt, engines, model, now_s, delay_s)
             if plan is not None and plan.cost < least:
                 least = plan.cost
-                start_s = later_s
+                start_s = delay_s
         return start_s
 
-    def _plan_later(
+    def _plan_deferred(
         self,
         prompt: prompts.Prompt,
         engines: list[lists.ListedEndpoint],
         model: routes.EngineCostModel,
         now_s: float,
-        later_s: float,
+        delay_s: float,
     ) -> partplan.Plan | None:
-        """Returns the best plan if nothing else is placed until then."""
-        waited = dataclasses.replace(prompt, waited_s=prompt.waited_s + later_s)
-        at_s = now_s + later_s
+        """Returns the best plan at a later start if no other job is placed."""
+        waited = dataclasses.replace(prompt, waited_s=prompt.waited_s + delay_s)
+        at_s = now_s + delay_s
         return partplan.choose_plan(
             self._tracker.look_ahead(at_s),
             self._data_centre,
@@ -114,7 +116,7 @@
 
 
 def _make_choice(prompt: prompts.Prompt, plan: partplan.Plan) -> prompts.Choice:
-    """Returns a plan as what the book, the peers and the relay are told."""
+    """Converts a plan to the form that tracker, peers and relay use."""
     parts = tuple(
         jobtracker.Part(part.endpoint.endpoint_id, plan.prefill_s, tokens)
         for part, tokens in zip(plan.parts, plan.tokens, strict=True)
@@ -124,7 +126,7 @@
         parts,
         prompt.pause_s,
         prompt.prompt_tokens,
-        max(SHORTEST_OBJECTIVE_S, prompt.objective_s - prompt.waited_s),
+        max(MIN_OBJECTIVE_S, prompt.objective_s - prompt.waited_s),
     )
     return prompts.Choice(
         job,
