--- a/rhubarblock/routing/placement/partplan.py
+++ b/rhubarblock/routing/placement/partplan.py
@@ -1,9 +1,10 @@
-"""Plans where a prompt is read, in how many parts, and where it is written.
+"""Plans on which engines a prompt is prefilled, in how many parts, and decoded.
 
-Reading in parts costs no extra work, so a long prompt starts soonest when many
-engines read it. But each part lengthens a pass of its engine, and those who
-write there pause for as long. So short prompts are packed onto few engines as
-long as their passes stay short, and long ones are read by the others.
+Splitting the prefill costs no extra work, so a long prompt starts soonest when
+many engines share it. But each part lengthens a pass of its engine, and the
+answers that are decoded there pause for as long. So short prompts are packed
+onto few engines while the passes of these stay short, and long prompts are
+prefilled by the other engines.
 """
 
 import dataclasses
@@ -14,49 +15,49 @@
 from rhubarblock.core import route as routes
 from rhubarblock.routing.placement import engineview
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import lateness
+from rhubarblock.routing.placement import latencycost
 from rhubarblock.routing.placement import prompt as prompts
 
-# Most engines that read one prompt: the one that is asked and 16 helpers.
+# Most engines that prefill one prompt: the engine that is asked and 16 helpers.
 MAX_PARTS = 17
 # Numbers of parts that are compared.
-COUNTS = (1, 2, 3, 4, 6, 8, 10, 12, 14, 17)
-# Parts are not made shorter than this many seconds: about the shortest pass,
-# which each further engine may have to end before it reads its part.
-SMALL_READ_S = 0.06
-# Seconds of waiting that are all the same to a short prompt: about a pass.
-SHORT_WAIT_S = 0.05
-# Seconds of delay that a stream which moves takes to stay within its data
-# centre.
-FAR_S = 0.03
-# Costs within the same step, in short prompts, are alike when engines are
-# ranked: predictions are no better than that.
+PART_COUNTS = (1, 2, 3, 4, 6, 8, 10, 12, 14, 17)
+# Shortest prefill of a part in seconds: about the shortest pass, which each
+# further engine may have to end before it starts its part.
+MIN_PART_S = 0.06
+# Differences in waiting time below this, in seconds, do not matter to a short
+# prompt: about one pass.
+WAIT_STEP_S = 0.05
+# Seconds of delay that a resumed stream accepts to stay in its data centre.
+REMOTE_PENALTY_S = 0.03
+# Costs within the same step, in short prompts, rank as equal, as predictions
+# are no more precise than that.
 COST_STEP = 0.25
-# Free slots of an engine, to write or to help, that are left for what other
-# instances place there at the same moment.
-LAST_SLOTS = 1
-# Free slots up to which engines are alike to a short prompt: the last ones, and
-# two to spread over, so that those who choose at once take different engines.
+# Free slots of an engine, to decode or to help, that are reserved for what
+# other instances place there at the same moment.
+RESERVED_SLOTS = 1
+# Engines with at most this many free slots rank as equal for a short prompt:
+# the reserved one and two to spread over, so that concurrent choices differ.
 FEW_SLOTS = 3
-# Part of an engine's memory that placed work may fill; the rest takes what
+# Part of an engine's memory that placed jobs may fill; the rest is for what
 # other instances place at the same moment.
 MEMORY_PART = 0.95
-# Most of an engine's memory that one prompt takes while others hold more of it:
-# less than half, so that two such prompts fit side by side.
+# Part of an engine's memory that one prompt may take if several engines hold
+# it: less than half, so that two such prompts fit side by side.
 LEASE_PART = 0.45
 
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Where a prompt would go.
+    """A possible placement of a prompt.
 
     Attributes:
-      cost: what that costs its caller and all others, in short prompts.
-      parts: the engines, the first of which also writes the answer.
+      cost: what it costs the caller and all other jobs, in short prompts.
+      parts: the engines; the first one also decodes the answer.
       tokens: memory that each of them holds.
-      prefill_s: seconds that each of them reads.
+      prefill_s: prefill seconds at each of them.
       expected_s: seconds until the first event.
-      pause_s: seconds between that and the next one.
+      pause_s: seconds between the first event and the next one.
     """
 
     cost: float
@@ -75,37 +76,37 @@
     model: routes.EngineCostModel,
     now_s: float,
 ) -> Plan | None:
-    """Returns the plan that costs least, or None if no engine has room.
+    """Returns the cheapest plan, or None if no engine has room.
 
     Args:
-      tracker: what each engine has before it.
-      data_centre: where the instance runs; streams within it outlast a cut
-        between data centres.
-      prompt: what is to be placed.
+      tracker: the jobs that are placed on each engine.
+      data_centre: where this instance runs; streams within it survive a
+        partition between data centres.
+      prompt: the prompt to place.
       engines: engines that may be used.
-      model: what their steps cost.
-      now_s: the moment of the placement, in monotonic seconds.
+      model: cost model of the engines.
+      now_s: time of the placement, in monotonic seconds.
     """
-    look = _Look(tracker, data_centre, prompt, engines, model, now_s)
+    planner = _Planner(tracker, data_centre, prompt, engines, model, now_s)
     counts = _list_counts(prompt, model, len(engines))
     if counts == [1] and not prompt.is_mid_stream:
-        return look.plan_short()
-    views = [look.view(engine) for engine in engines]
-    plans = [_Draft(prompt, views, model, n).plan() for n in counts]
+        return planner.plan_short()
+    views = [planner.view(engine) for engine in engines]
+    plans = [_PlanBuilder(prompt, views, model, n).plan() for n in counts]
     possible = [plan for plan in plans if plan is not None]
-    # Of those that cost the same the first one has the fewest parts.
+    # Among plans of equal cost the first one has the fewest parts.
     return min(possible, key=lambda plan: plan.cost, default=None)
 
 
-class _Look:
+class _Planner:
     """The engines at the moment of one placement."""
 
     __slots__ = (
         "_data_centre",
         "_engines",
+        "_forecast",
         "_loads",
         "_model",
-        "_outlook",
         "_prompt",
     )
 
@@ -118,42 +119,42 @@
         model: routes.EngineCostModel,
         now_s: float,
     ):
-        """Looks at the engines; see ``choose_plan``."""
+        """Settles the engines' loads; for the arguments see ``choose_plan``."""
         self._data_centre = data_centre
         self._prompt = prompt
         self._engines = engines
         self._model = model
-        self._outlook = engineview.Outlook(tracker, now_s)
+        self._forecast = engineview.PrefillForecast(tracker, now_s)
         self._loads = {
             e.endpoint_id: tracker.find(e.endpoint_id) for e in engines
         }
-        # All are settled first, as a view looks at jobs that span several.
+        # All are settled first, as a view reads jobs that span several engines.
         for load in self._loads.values():
             load.settle(now_s)
 
     def view(self, engine: lists.ListedEndpoint) -> engineview.EngineView:
-        """Returns an engine as the placement sees it."""
+        """Returns the view of one engine."""
         return engineview.view_engine(
             engine,
             self._loads[engine.endpoint_id],
-            self._outlook,
+            self._forecast,
             self._model,
             self._data_centre,
             MEMORY_PART,
         )
 
     def plan_short(self) -> Plan | None:
-        """Returns the best plan of a prompt that one engine reads.
+        """Returns the best plan of a prompt that one engine prefills.
 
-        Engines are looked at in the order in which they are preferred where
-        all cost the same, until one costs nothing: most of the time that is
-        the first, and no other could be better.
+        Tries the engines in their order of preference at equal cost and stops
+        at the first one without cost and wait, as no other engine could be
+        better. Most of the time that is the very first.
         """
         best: Plan | None = None
         least: tuple[int, int] | None = None
-        for engine in sorted(self._engines, key=self._rank_alike):
+        for engine in sorted(self._engines, key=self._rank_equal_cost):
             view = self.view(engine)
-            plan = _Draft(self._prompt, [view], self._model, 1).plan()
+            plan = _PlanBuilder(self._prompt, [view], self._model, 1).plan()
             if plan is None:
                 continue
             rank = _rank_cost(view, plan.cost)
@@ -163,9 +164,11 @@
                 break
         return best
 
-    def _rank_alike(self, engine: lists.ListedEndpoint) -> tuple[object, ...]:
+    def _rank_equal_cost(
+        self, engine: lists.ListedEndpoint
+    ) -> tuple[object, ...]:
         load = self._loads[engine.endpoint_id]
-        return _rank_alike(
+        return _rank_equal_cost(
             engine,
             engine.data_centre != self._data_centre,
             self._model.slots - len(load.jobs),
@@ -173,16 +176,16 @@
         )
 
 
-class _Draft:
-    """One number of parts of a prompt, and what a part costs at each engine."""
+class _PlanBuilder:
+    """Builds the plan of a prompt for one number of parts."""
 
     __slots__ = (
+        "_costs",
         "_count",
-        "_harms",
-        "_most_held",
+        "_max_held",
         "_needed",
+        "_prefill_s",
         "_prompt",
-        "_read_s",
         "_views",
     )
 
@@ -197,10 +200,10 @@
         self._views = views
         self._count = count
         self._needed = prompt.prompt_tokens + prompt.answer_tokens
-        self._most_held = limit_lease(model)
-        self._read_s = model.predict_prefill(prompt.prompt_tokens, count)
-        self._harms = {
-            view.endpoint.endpoint_id: view.weigh(self._read_s)
+        self._max_held = limit_lease(model)
+        self._prefill_s = model.predict_prefill(prompt.prompt_tokens, count)
+        self._costs = {
+            view.endpoint.endpoint_id: view.compute_cost(self._prefill_s)
             for view in views
         }
 
@@ -212,178 +215,189 @@
         parts = [first, *self._choose_helpers(first)]
         if len(parts) < self._count:
             return None
-        tokens = _share_memory(parts, self._needed, self._most_held)
+        tokens = _divide_memory(parts, self._needed, self._max_held)
         if tokens is None:
             return None
-        prefill_s = self._read_s
+        prefill_s = self._prefill_s
         expected_s = max(part.predict_end(prefill_s) for part in parts)
         pause_s = first.predict_pause(prefill_s, expected_s)
-        cost = self._weigh_own(expected_s, pause_s)
-        cost += sum(part.weigh_pauses(prefill_s) for part in parts)
-        cost += engineview.weigh_delayed(parts, prefill_s)
+        cost = self._compute_own_cost(expected_s, pause_s)
+        cost += sum(part.compute_pause_cost(prefill_s) for part in parts)
+        cost += engineview.compute_delayed_cost(parts, prefill_s)
         return Plan(cost, parts, tokens, prefill_s, expected_s, pause_s)
 
     def _choose_first(self) -> engineview.EngineView | None:
-        """Returns the engine that writes the answer, None if none has a slot.
+        """Returns the engine that decodes the answer, None if none has a slot.
 
-        It holds the whole prompt if one can, else as much as one can.
+        Prefers engines that can hold the whole prompt; otherwise takes the one
+        with the most free memory.
         """
-        open_ones = [view for view in self._views if view.free_slots > 0]
-        roomy = [view for view in open_ones if view.room >= self._needed]
-        if roomy:
-            return min(roomy, key=self._rank_first)
-        return max(open_ones, key=lambda view: view.room, default=None)
+        candidates = [view for view in self._views if view.free_slots > 0]
+        large_enough = [
+            view for view in candidates if view.free_tokens >= self._needed
+        ]
+        if large_enough:
+            return min(large_enough, key=self._rank_first)
+        return max(candidates, key=lambda view: view.free_tokens, default=None)
 
     def _choose_helpers(
         self, first: engineview.EngineView
     ) -> list[engineview.EngineView]:
-        """Returns the engines of the other parts, the best ones there are.
+        """Returns the best available engines for the other parts.
 
-        An engine helps as many others as it has slots and refuses the next
-        one, and with it the whole plan.
+        An engine helps with as many jobs as it has slots and refuses the next
+        one, which makes the whole plan fail.
         """
         others = [
             view
             for view in self._views
-            if view is not first and view.free_helps > LAST_SLOTS
+            if view is not first and view.free_helper_slots > RESERVED_SLOTS
         ]
-        others.sort(key=lambda view: _rank_long(view, self._find_harm(view)))
+        others.sort(key=lambda view: _rank_long(view, self._find_cost(view)))
         return others[: self._count - 1]
 
     def _rank_first(self, view: engineview.EngineView) -> tuple[object, ...]:
-        harm = self._find_harm(view)
+        others_cost = self._find_cost(view)
         if self._prompt.is_mid_stream:
             job_id = self._prompt.job_id
-            return _rank_hurried(view, harm, self._read_s, job_id)
-        end_s = view.predict_end(self._read_s)
-        pause_s = view.predict_pause(self._read_s, end_s)
-        cost = harm + self._weigh_own(end_s, pause_s)
+            return _rank_mid_stream(view, others_cost, self._prefill_s, job_id)
+        end_s = view.predict_end(self._prefill_s)
+        pause_s = view.predict_pause(self._prefill_s, end_s)
+        cost = others_cost + self._compute_own_cost(end_s, pause_s)
         if self._count == 1:
             return _rank_short(view, cost, self._prompt.job_id)
         return _rank_long(view, cost)
 
-    def _find_harm(self, view: engineview.EngineView) -> float:
-        return self._harms[view.endpoint.endpoint_id]
+    def _find_cost(self, view: engineview.EngineView) -> float:
+        return self._costs[view.endpoint.endpoint_id]
 
-    def _weigh_own(self, expected_s: float, pause_s: float) -> float:
+    def _compute_own_cost(self, expected_s: float, pause_s: float) -> float:
         """Returns what the prompt itself loses, in short prompts.
 
         Args:
           expected_s: seconds until its first event.
-          pause_s: seconds between that and the next one.
+          pause_s: seconds between the first event and the next one.
         """
         prompt = self._prompt
-        lost = lateness.weigh_pause(pause_s, prompt.pause_s)
-        lost += lateness.weigh_delay(
+        lost = latencycost.compute_pause_loss(pause_s, prompt.pause_s)
+        lost += latencycost.compute_delay_loss(
             prompt.waited_s + expected_s, prompt.objective_s, prompt.pause_s
         )
-        return lost * lateness.weigh_prompt(prompt.prompt_tokens)
+        return lost * latencycost.compute_value(prompt.prompt_tokens)
 
 
-def _share_memory(
-    parts: list[engineview.EngineView], needed: int, most_held: int
+def _divide_memory(
+    parts: list[engineview.EngineView], needed: int, max_held: int
 ) -> list[int] | None:
     """Returns the tokens that each engine of a plan holds.
 
-    The first one holds all if it can; else each holds some, the roomiest ones
-    first, as every further holder is one more order.
+    The first engine holds all of them if it can. Otherwise each one holds a
+    share, those with the most free memory first, because every further holder
+    costs one more request.
     """
-    if parts[0].room >= needed:
+    if parts[0].free_tokens >= needed:
         return [needed, *[0] * (len(parts) - 1)]
     tokens = [0] * len(parts)
-    tokens[0] = min(parts[0].room, most_held)
-    rest = needed - tokens[0]
-    by_room = sorted(range(1, len(parts)), key=lambda i: -parts[i].room)
-    for index in by_room:
-        taken = max(0, min(rest, parts[index].room, most_held))
+    tokens[0] = min(parts[0].free_tokens, max_held)
+    remaining = needed - tokens[0]
+    by_free_tokens = sorted(
+        range(1, len(parts)), key=lambda i: -parts[i].free_tokens
+    )
+    for index in by_free_tokens:
+        taken = max(0, min(remaining, parts[index].free_tokens, max_held))
         tokens[index] = taken
-        rest -= taken
-    return tokens if rest <= 0 and tokens[0] > 0 else None
+        remaining -= taken
+    return tokens if remaining <= 0 and tokens[0] > 0 else None
 
 
 def limit_lease(model: routes.EngineCostModel) -> int:
-    """Returns the most tokens of a prompt that one of several engines holds."""
+    """Returns the most tokens that one of several engines may hold."""
     return int(LEASE_PART * model.kv_capacity_tokens)
 
 
 def _list_counts(
     prompt: prompts.Prompt, model: routes.EngineCostModel, engines: int
 ) -> list[int]:
-    """Returns the numbers of parts that are worth looking at.
+    """Returns the numbers of parts that are worth planning.
 
-    A prompt that is soon read is not parted much, unless one engine can't hold
-    it. Nor is one whose plans were refused: any engine of a plan may refuse it,
-    so that half as many are half as likely to.
+    A prompt with a short prefill is split little, unless it does not fit into
+    one engine. Each refusal halves the number of parts: any engine of a plan
+    may refuse it, so with half as many engines a refusal is half as likely.
     """
     whole_s = model.predict_prefill(prompt.prompt_tokens)
-    most = min(MAX_PARTS, int(whole_s / SMALL_READ_S))
+    most = min(MAX_PARTS, int(whole_s / MIN_PART_S))
     most = max(1, most >> prompt.refusals)
     needed = prompt.prompt_tokens + prompt.answer_tokens
     if needed > MEMORY_PART * model.kv_capacity_tokens:
         most = max(most, 2 * math.ceil(needed / limit_lease(model)))
     most = min(MAX_PARTS, engines, most)
-    return [n for n in COUNTS if n <= most]
+    return [n for n in PART_COUNTS if n <= most]
 
 
 def _rank_short(
     view: engineview.EngineView, cost: float, job_id: str
 ) -> tuple[object, ...]:
-    """Prefers engines that cost little and let a short prompt wait least."""
+    """Prefers engines with a low cost and a short wait for a short prompt."""
     return (
         *_rank_cost(view, cost),
-        *_rank_alike(view.endpoint, view.is_far, view.free_slots, job_id),
+        *_rank_equal_cost(
+            view.endpoint, view.is_remote, view.free_slots, job_id
+        ),
     )
 
 
 def _rank_cost(view: engineview.EngineView, cost: float) -> tuple[int, int]:
-    return int(cost / COST_STEP), int(view.wait_s / SHORT_WAIT_S)
+    return int(cost / COST_STEP), int(view.wait_s / WAIT_STEP_S)
 
 
-def _rank_alike(
-    endpoint: lists.ListedEndpoint, is_far: bool, free_slots: int, job_id: str
+def _rank_equal_cost(
+    endpoint: lists.ListedEndpoint,
+    is_remote: bool,
+    free_slots: int,
+    job_id: str,
 ) -> tuple[object, ...]:
-    """Prefers near engines that already write for others, but for a few slots.
-
-    Steps get only a few hundredths longer with each writer, and every engine
-    that writes for nobody reads for long prompts without making anyone pause.
-    But whoever comes to an engine whose last slot was taken meanwhile waits for
-    one, and news of a placement takes some milliseconds to reach all. So the
-    last slot is left where there is another engine, and those that have few
-    are alike.
+    """Prefers local engines that already decode, but for the last free slots.
+
+    A further answer lengthens the steps of an engine by only a few percent, and
+    every engine that decodes nothing prefills long prompts without pausing
+    anyone. But a request that arrives at an engine whose last slot was taken in
+    the meantime has to wait for one, and announcements of placements take some
+    milliseconds to reach all instances. So the last slot is used only if there
+    is no other engine, and engines with few free slots rank as equal.
     """
     return (
-        is_far,
-        free_slots <= LAST_SLOTS,
+        is_remote,
+        free_slots <= RESERVED_SLOTS,
         max(free_slots, FEW_SLOTS),
-        _spread(endpoint.endpoint_id, job_id),
+        _hash_rank(endpoint.endpoint_id, job_id),
     )
 
 
-def _spread(endpoint_id: str, job_id: str) -> int:
-    """Returns a rank among engines that are alike, another for each prompt."""
+def _hash_rank(endpoint_id: str, job_id: str) -> int:
+    """Returns a rank among equal engines that differs from prompt to prompt."""
     return zlib.crc32(f"{job_id} {endpoint_id}".encode())
 
 
-def _rank_hurried(
+def _rank_mid_stream(
     view: engineview.EngineView, cost: float, prefill_s: float, job_id: str
 ) -> tuple[object, ...]:
-    """Prefers engines that go on soonest, and spreads those that are alike.
+    """Prefers engines that continue soonest, and spreads equal ones by hash.
 
     Many streams leave an engine at the same moment and from several instances,
-    which know nothing of each other's choices yet.
+    which do not know each other's choices yet.
     """
     end_s = view.predict_end(prefill_s)
     pause_s = view.predict_pause(prefill_s, end_s)
-    lasts_s = max(end_s, pause_s) + FAR_S * view.is_far
+    gap_s = max(end_s, pause_s) + REMOTE_PENALTY_S * view.is_remote
     return (
         int(cost / COST_STEP),
-        int(lasts_s / SHORT_WAIT_S),
-        _spread(view.endpoint.endpoint_id, job_id),
+        int(gap_s / WAIT_STEP_S),
+        _hash_rank(view.endpoint.endpoint_id, job_id),
     )
 
 
 def _rank_long(view: engineview.EngineView, cost: float) -> tuple[object, ...]:
-    """Prefers engines at which nobody writes and nothing waits."""
+    """Prefers engines that decode nothing and have no backlog."""
     return (
         int(cost / COST_STEP),
         len(view.load.jobs) > 0,
--- a/rhubarblock/routing/placement/partplan_test.py
+++ b/rhubarblock/routing/placement/partplan_test.py
@@ -1,4 +1,4 @@
-"""The quick way of a short prompt against a look at every engine."""
+"""Compares the plan of a short prompt with a search over every engine."""
 
 import random
 
@@ -20,8 +20,8 @@
 ]
 
 
-def draw_book(rng):
-    """Returns a book of engines that write and read by chance."""
+def draw_tracker(rng):
+    """Returns a tracker with random jobs on the engines."""
     tracker = jobtracker.JobTracker()
     for engine in ENGINES:
         for number in range(rng.choice((0, 1, 5, 6, 7, 8, 9))):
@@ -37,33 +37,33 @@
     return tracker
 
 
-def plan_by_all(tracker, prompt, now_s):
-    """Returns the plan that a look at every engine prefers."""
-    outlook = engineview.Outlook(tracker, now_s)
+def plan_by_full_search(tracker, prompt, now_s):
+    """Returns the plan that a search over every engine prefers."""
+    forecast = engineview.PrefillForecast(tracker, now_s)
     for engine in ENGINES:
         tracker.find(engine.endpoint_id).settle(now_s)
     views = [
         engineview.view_engine(
             engine,
             tracker.find(engine.endpoint_id),
-            outlook,
+            forecast,
             MODEL,
             "osu",
             partplan.MEMORY_PART,
         )
         for engine in ENGINES
     ]
-    return partplan._Draft(prompt, views, MODEL, 1).plan()
+    return partplan._PlanBuilder(prompt, views, MODEL, 1).plan()
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_quick_choice_is_that_of_a_look_at_all(seed):
-    tracker = draw_book(random.Random(seed))
+def test_early_stop_finds_the_same_plan_as_a_full_search(seed):
+    tracker = draw_tracker(random.Random(seed))
     prompt = prompts.Prompt(f"j{seed}", 6_000, 1_600, 0.2, 0.3, False)
-    all_plan = plan_by_all(tracker, prompt, 0.05)
+    full_plan = plan_by_full_search(tracker, prompt, 0.05)
     plan = partplan.choose_plan(tracker, "osu", prompt, ENGINES, MODEL, 0.05)
-    if all_plan is None:
+    if full_plan is None:
         assert plan is None
         return
-    assert plan.parts[0].endpoint == all_plan.parts[0].endpoint
-    assert plan.cost == all_plan.cost
+    assert plan.parts[0].endpoint == full_plan.parts[0].endpoint
+    assert plan.cost == full_plan.cost
--- a/rhubarblock/routing/placement/policy.py
+++ b/rhubarblock/routing/placement/policy.py
@@ -1,8 +1,8 @@
 """Interface of the placement policies.
 
-A policy is a plug-in of the group ``policy``. It sees a query and a load
-table, decides, and keeps no state of its own, so that the same policy serves
-at a coordinator, which knows every grant, and at an instance on its own.
+A policy is a plug-in of the group ``policy``. It decides from a query and a
+load table and keeps no state of its own, so the same policy works at a
+coordinator, which knows every grant, and at an instance that decides alone.
 """
 
 import abc
@@ -18,15 +18,15 @@
 
     plugin_group = PLUGIN_GROUP
     plugin_name = ""
-    # Whether lengths decide on admission and on the order of the queue.
+    # Whether admission and queue order depend on prompt lengths.
     uses_lengths = True
 
     def __init__(self, weight_ttft: float = 0.5):
         """Creates the policy.
 
         Args:
-          weight_ttft: from 0 to 1, the weight of time to first token across
-            lengths against the slowdown of short requests.
+          weight_ttft: weight from 0 to 1 of the time to first token across all
+            lengths; the rest is the weight of the slowdown of short requests.
         """
         self.weight_ttft = weight_ttft
 
@@ -37,12 +37,12 @@
         table: loadtable.LoadTable,
         now_s: float,
     ) -> placements.Placement | None:
-        """Chooses endpoints, or None when nothing has room at present."""
+        """Chooses endpoints; returns None if none has room at present."""
 
     @abc.abstractmethod
     def needs_coordinator(self, query: placements.PlacementQuery) -> bool:
-        """Says whether the coordinator of the engines has to be asked."""
+        """Says whether the coordinator of the pool has to be asked."""
 
     @abc.abstractmethod
     def is_short(self, prompt_tokens: int) -> bool:
-        """Says whether a prompt belongs into the lane of short ones."""
+        """Says whether a prompt belongs in the lane of short prompts."""
--- a/rhubarblock/routing/placement/predictor.py
+++ b/rhubarblock/routing/placement/predictor.py
@@ -1,10 +1,11 @@
-"""Learns how long prompts take, for admission by deadline.
-
-Prefill and decode times are kept per model as a smoothed mean of the ratio
-between observed and nominal time, with a smoothed spread, in the manner of the
-round-trip estimate of TCP. The nominal time holds the length; the ratio holds
-the state of the fleet. Prefill has a ratio for each band of lengths, because a
-wait that doubles the time of a short prompt is nothing to a long one.
+"""Predicts the duration of prompts, for admission by deadline.
+
+For each model, prefill and decode times are kept as a smoothed mean of the
+ratio between observed and nominal time, with a smoothed mean deviation, like
+the round-trip estimate of TCP. The nominal time covers the length of a prompt;
+the ratio covers the state of the fleet. Prefill has a ratio for each band of
+lengths, because a wait that doubles the time of a short prompt hardly matters
+to a long one.
 """
 
 import bisect
@@ -12,15 +13,15 @@
 
 from rhubarblock.routing.placement import loadtable
 
-# Nominal seconds of an iteration of an engine and between two tokens.
+# Nominal seconds of one engine iteration, and of the gap between two tokens.
 NOMINAL_START_S = 0.010
 NOMINAL_GAP_S = 0.010
-# Lengths in tokens at which a new band begins.
+# Prompt lengths in tokens at which a new band begins.
 BAND_TOKENS = (8_000, 64_000, 200_000)
-# Weight of a new observation in mean and spread.
+# Weight of a new observation in the mean and the deviation.
 GAIN = 0.05
-# Spreads above the mean that a prediction allows for.
-SPREADS = 3.0
+# Mean deviations that a prediction adds to the mean.
+DEVIATIONS = 3.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,18 +32,18 @@
     deviation: float = 0.25
 
     def observe(self, value: float) -> None:
-        """Takes in one observed ratio."""
+        """Adds one observed ratio."""
         error = value - self.mean
         self.mean += GAIN * error
         self.deviation += GAIN * (abs(error) - self.deviation)
 
     def bound(self) -> float:
         """Returns a ratio that few observations exceed."""
-        return self.mean + SPREADS * self.deviation
+        return self.mean + DEVIATIONS * self.deviation
 
 
 class Predictor:
-    """Predicts the times of prompts of each model."""
+    """Predicts the duration of the prompts of each model."""
 
     __slots__ = ("_gaps", "_starts")
 
@@ -53,12 +54,12 @@
     def observe_first_token(
         self, model: str, prompt_tokens: int, elapsed_s: float
     ) -> None:
-        """Takes in the time from dispatch to the first token."""
+        """Adds the seconds from dispatch to the first token."""
         estimate = self._find_start(model, prompt_tokens)
         estimate.observe(elapsed_s / nominal_start(prompt_tokens))
 
     def observe_decode(self, model: str, tokens: int, elapsed_s: float) -> None:
-        """Takes in the time of the tokens after the first one."""
+        """Adds the seconds that the tokens after the first one took."""
         if tokens > 0:
             estimate = self._gaps.setdefault(model, Estimate())
             estimate.observe(elapsed_s / (tokens * NOMINAL_GAP_S))
@@ -66,13 +67,13 @@
     def bound_total(
         self, model: str, prompt_tokens: int, max_tokens: int
     ) -> float:
-        """Returns seconds from dispatch to the end that few exceed."""
+        """Returns seconds from dispatch to the end that few prompts exceed."""
         start = self._find_start(model, prompt_tokens).bound()
         decode_s = self.bound_decode(model, max_tokens)
         return nominal_start(prompt_tokens) * start + decode_s
 
     def bound_decode(self, model: str, max_tokens: int) -> float:
-        """Returns seconds for an output that few outputs exceed."""
+        """Returns seconds of decoding that few outputs exceed."""
         gap = self._gaps.setdefault(model, Estimate()).bound()
         return max_tokens * NOMINAL_GAP_S * gap
 
@@ -85,5 +86,5 @@
 
 
 def nominal_start(prompt_tokens: int) -> float:
-    """Returns seconds that a prompt takes on an engine of its own."""
+    """Returns the seconds until the first token on an otherwise idle engine."""
     return NOMINAL_START_S + prompt_tokens / loadtable.PRIOR_PREFILL_RATE
--- a/rhubarblock/routing/placement/prefixindex.py
+++ b/rhubarblock/routing/placement/prefixindex.py
@@ -1,8 +1,8 @@
-"""Which engine probably has the beginning of a prompt in its cache.
+"""Estimates which engine has the beginning of a prompt in its prefix cache.
 
-Engines publish cache events late and with gaps, so the index is a hint: a
-wrong one costs the computation that it promised to save. What a placement will
-cache is noted at once, before the engine tells it.
+Engines publish cache events late and with gaps, so the index is only a hint: a
+wrong entry costs the computation that it promised to save. The blocks that a
+placement will cache are added at once, before the engine reports them.
 """
 
 from collections.abc import Iterable
@@ -10,19 +10,19 @@
 
 from rhubarblock.core import attempt as attempts
 
-# Tokens of one block of the prefix cache; the engines' protocol fixes it.
+# Tokens in one block of the prefix cache; fixed by the engines' protocol.
 BLOCK_TOKENS = 512
-# Most blocks remembered of one engine; the oldest go first.
-MOST_BLOCKS = 4_096
+# Blocks remembered for each engine; the oldest are evicted first.
+MAX_BLOCKS = 4_096
 
 
 @dataclasses.dataclass(slots=True)
 class IndexCounters:
-    """What the index counted since its start.
+    """Counters of the index since its start.
 
     Attributes:
-      events: events taken in.
-      gaps: gaps found in their numbers.
+      events: events applied.
+      gaps: gaps in their sequence numbers.
     """
 
     events: int = 0
@@ -30,7 +30,7 @@
 
 
 class _EngineBlocks:
-    """Blocks of one engine, the latest last."""
+    """Cached blocks of one engine, the most recent last."""
 
     __slots__ = ("blocks", "sequence", "start_id")
 
@@ -42,12 +42,12 @@
     def store(self, block: str) -> None:
         self.blocks.pop(block, None)
         self.blocks[block] = None
-        if len(self.blocks) > MOST_BLOCKS:
+        if len(self.blocks) > MAX_BLOCKS:
             del self.blocks[next(iter(self.blocks))]
 
 
 class PrefixIndex:
-    """Blocks by engine."""
+    """Cached blocks of each engine."""
 
     __slots__ = ("_engines", "counters")
 
@@ -56,12 +56,12 @@
         self.counters = IndexCounters()
 
     def read_sequence(self, endpoint_id: str) -> int:
-        """Returns the number of the last event of an engine."""
+        """Returns the sequence number of the last event of an engine."""
         engine = self._engines.get(endpoint_id)
         return engine.sequence if engine else 0
 
     def note_start(self, endpoint_id: str, start_id: str) -> None:
-        """Forgets an engine that was started anew: its memory is empty."""
+        """Clears the blocks of an engine that restarted with an empty cache."""
         engine = self._engines.get(endpoint_id)
         if engine is None or engine.start_id != start_id:
             self._engines[endpoint_id] = _EngineBlocks(start_id)
@@ -69,10 +69,10 @@
     def take_events(
         self, endpoint_id: str, events: Iterable[attempts.CacheEvent]
     ) -> None:
-        """Takes in events of an engine; a gap is counted and passed over.
+        """Applies cache events of an engine; counts gaps and skips them.
 
-        A lost event makes one block wrong, and the engine's next event of that
-        block puts it right, so nothing is thrown away for it.
+        A lost event makes one block wrong until the engine's next event about
+        that block, so a gap does not discard the other blocks.
         """
         engine = self._engines.setdefault(endpoint_id, _EngineBlocks())
         for event in events:
@@ -88,13 +88,13 @@
                 engine.blocks.pop(event.block, None)
 
     def expect(self, endpoint_id: str, blocks: Iterable[str]) -> None:
-        """Notes what a placement is about to cache at an engine."""
+        """Adds the blocks that a placement is about to cache at an engine."""
         engine = self._engines.setdefault(endpoint_id, _EngineBlocks())
         for block in blocks:
             engine.store(block)
 
     def count_cached(self, endpoint_id: str, blocks: tuple[str, ...]) -> int:
-        """Returns the prompt tokens that an engine probably has cached.
+        """Returns the prompt tokens that an engine probably has in its cache.
 
         Args:
           endpoint_id: the engine.
--- a/rhubarblock/routing/placement/prefixindex_test.py
+++ b/rhubarblock/routing/placement/prefixindex_test.py
@@ -14,7 +14,7 @@
     assert index.count_cached("other", ("a",)) == 0
 
 
-def test_gap_is_counted_and_later_events_still_hold():
+def test_gap_is_counted_and_later_events_still_apply():
     index = prefixindex.PrefixIndex()
     index.take_events("e", [stored(1, "a"), stored(3, "b")])
     assert index.counters == prefixindex.IndexCounters(events=2, gaps=1)
@@ -28,7 +28,7 @@
     assert index.count_cached("e", ("a",)) == 0
 
 
-def test_new_start_of_an_engine_has_an_empty_cache():
+def test_restarted_engine_has_an_empty_cache():
     index = prefixindex.PrefixIndex()
     index.note_start("e", "one")
     index.take_events("e", [stored(1, "a")])
@@ -39,14 +39,14 @@
     assert index.read_sequence("e") == 0
 
 
-def test_expected_blocks_count_before_the_engine_tells_them():
+def test_expected_blocks_count_before_the_engine_reports_them():
     index = prefixindex.PrefixIndex()
     index.expect("e", ("a", "b"))
     assert index.count_cached("e", ("a", "b")) == 1_024
 
 
-def test_oldest_blocks_are_forgotten(monkeypatch):
-    monkeypatch.setattr(prefixindex, "MOST_BLOCKS", 2)
+def test_oldest_blocks_are_evicted(monkeypatch):
+    monkeypatch.setattr(prefixindex, "MAX_BLOCKS", 2)
     index = prefixindex.PrefixIndex()
     index.expect("e", ("a", "b", "c"))
     assert index.count_cached("e", ("a",)) == 0
--- a/rhubarblock/routing/placement/prompt.py
+++ b/rhubarblock/routing/placement/prompt.py
@@ -1,4 +1,4 @@
-"""A prompt that is to be placed, and where it goes."""
+"""A prompt to be placed, and the engines chosen for it."""
 
 import dataclasses
 
@@ -8,18 +8,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Prompt:
-    """What is to be placed.
+    """A prompt to be placed.
 
     Attributes:
-      job_id: unique over all instances.
-      prompt_tokens: length.
-      answer_tokens: most tokens of its answer.
-      pause_s: longest pause that is on time, in seconds; 0 where any is.
-      objective_s: time to the first event that is on time, in seconds.
+      job_id: unique across all instances.
+      prompt_tokens: length of the prompt in tokens.
+      answer_tokens: largest number of tokens in its answer.
+      pause_s: longest pause in the stream that counts as on time, in seconds; 0
+        for no limit.
+      objective_s: time to the first event that counts as on time, in seconds.
       waited_s: seconds since its arrival.
-      is_mid_stream: whether its caller is within a stream already, so that each
-        hundredth of a second counts.
-      refusals: plans of it that an engine refused.
+      is_mid_stream: whether its caller is already receiving a stream, so that
+        every 10 ms of delay matter.
+      refusals: how many of its placements an engine refused.
     """
 
     job_id: str
@@ -34,13 +35,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Choice:
-    """Where a prompt goes.
+    """The engines chosen for a prompt.
 
     Attributes:
-      job: what the book is told.
+      job: what is recorded and announced to the peers.
       engines: the engines of the job's parts, in the same order.
-      expected_s: seconds until its first event, as predicted.
-      pause_s: seconds between that and the next one.
+      expected_s: predicted seconds until its first event.
+      pause_s: predicted seconds between the first event and the next one.
     """
 
     job: jobtracker.Job
--- a/rhubarblock/routing/placement/promptpolicy.py
+++ b/rhubarblock/routing/placement/promptpolicy.py
@@ -1,4 +1,7 @@
-"""What chooses the engines of a prompt, and may be exchanged."""
+"""Interface of the prompt policies, which choose the engines of a prompt.
+
+A prompt policy is a plug-in of the group ``prompt_policy``.
+"""
 
 import abc
 
@@ -11,17 +14,17 @@
 
 
 class PromptPolicy(abc.ABC):
-    """Chooses where a prompt is read and written."""
+    """Chooses the engines that prefill and decode a prompt."""
 
     plugin_group = PLUGIN_GROUP
     plugin_name = ""
 
     def __init__(self, tracker: jobtracker.JobTracker, data_centre: str):
-        """Creates a policy over what is known of the engines.
+        """Creates a policy.
 
         Args:
-          tracker: what each engine has before it.
-          data_centre: where the instance runs.
+          tracker: the jobs that are placed on each engine.
+          data_centre: where this instance runs.
         """
         self._tracker = tracker
         self._data_centre = data_centre
@@ -37,10 +40,10 @@
         """Chooses the engines of a prompt.
 
         Args:
-          prompt: what is to be placed.
+          prompt: the prompt to place.
           engines: engines that may be used.
-          model: what their steps cost.
-          now_s: monotonic seconds.
+          model: cost model of the engines.
+          now_s: current time in monotonic seconds.
 
         Returns:
           The choice, or None if no engine has room for it.
@@ -53,16 +56,16 @@
         model: routes.EngineCostModel,
         now_s: float,
     ) -> float:
-        """Returns the seconds after which a prompt had better begin.
+        """Returns the seconds by which a prompt's start should be deferred.
 
-        It is asked again after a part of them, as others come and end; 0 says
-        at once, and is what a policy says that never waits.
+        Callers ask again before that time is over, as other jobs start and end
+        meanwhile. 0 means to start now; a policy that never defers returns 0.
 
         Args:
-          prompt: what is to be placed.
+          prompt: the prompt to place.
           engines: engines that may be used.
-          model: what their steps cost.
-          now_s: monotonic seconds.
+          model: cost model of the engines.
+          now_s: current time in monotonic seconds.
         """
         del prompt, engines, model, now_s
         return 0.0
--- a/rhubarblock/routing/placement/segments.py
+++ b/rhubarblock/routing/placement/segments.py
@@ -1,9 +1,10 @@
-"""Splits prompts that are larger than one engine."""
+"""Splits prompts that do not fit into one engine."""
 
 from rhubarblock.routing.placement import decision as placements
 from rhubarblock.routing.placement import loadtable
 
-# KV memory that the last engine of a group keeps for reading earlier segments.
+# KV memory that the last engine of a group reserves for reading the earlier
+# segments, in tokens.
 WINDOW_TOKENS = 4_096
 
 
@@ -12,19 +13,19 @@
     loads: list[loadtable.EndpointLoad],
     priority: int,
 ) -> placements.Placement | None:
-    """Spreads a prompt over a group of engines, all or none.
+    """Splits a prompt over a group of engines, all or nothing.
 
-    Every engine gives the room it has free, in the order given, until the
+    Each engine contributes its free memory, in the given order, until the
     prompt, its output and the window of the last engine fit.
 
     Args:
-      query: request that fits no single engine.
-      loads: candidates, the preferred ones first.
+      query: request that does not fit into any single engine.
+      loads: candidate engines, the preferred ones first.
       priority: priority at the engines.
 
     Returns:
-      A placement whose last engine also generates, or None when the engines
-      together have no room.
+      A placement whose last engine also decodes, or None if the engines
+      together lack the memory.
     """
     segments: list[placements.Segment] = []
     placed = 0
--- a/rhubarblock/routing/placement/segments_test.py
+++ b/rhubarblock/routing/placement/segments_test.py
@@ -1,4 +1,4 @@
-"""Prompts larger than one engine, and the choices of the policies."""
+"""Tests of split prompts and of the choices that the policies make."""
 
 import pytest
 
@@ -43,14 +43,14 @@
         *(x.endpoint_id for x in placement.segments),
         placement.prefill_id,
     ] == list(engines)
-    rest = tokens - ends[-1]
-    assert rest >= 1 and rest + output <= _FREE
+    remaining = tokens - ends[-1]
+    assert remaining >= 1 and remaining + output <= _FREE
     assert all(
         0 < b - a <= _FREE for a, b in zip([0, *ends], ends, strict=False)
     )
 
 
-def test_what_does_not_fit_whole_is_not_placed():
+def test_prompt_that_does_not_fit_is_not_placed_in_part():
     assert split(3 * _FREE, 1) is None
     assert split(10, 1, kv_tokens=segments.WINDOW_TOKENS) is None
     full = loadtable_test.make_table("a", "b")
@@ -72,7 +72,7 @@
     placement = policy.choose(make_query(tokens), table, 0.0)
     names = placement.list_endpoints()
     assert len(names) == (3 if tokens > 400_000 else 1)
-    # A second try avoids what failed, as long as there is something else.
+    # A retry avoids the engines that failed while there are others.
     avoid = frozenset(names[:1])
     again = policy.choose(make_query(tokens, avoid=avoid), table, 0.0)
     assert not avoid & set(again.list_endpoints())
@@ -89,35 +89,35 @@
 
 
 @POLICIES
-def test_prompt_that_only_all_roles_together_hold_is_placed(policy):
+def test_prompt_that_needs_engines_of_all_roles_is_placed(policy):
     table = loadtable_test.make_table("p", "d", roles="pd")
     placement = policy.choose(make_query(450_000), table, 0.0)
     assert set(placement.list_endpoints()) == {"p", "d"}
 
 
 @POLICIES
-def test_group_takes_back_an_engine_that_failed_when_it_needs_all(policy):
-    """It may be well again; without it the prompt could never be placed."""
+def test_group_that_needs_every_engine_includes_one_that_failed(policy):
+    """It may have recovered; without it the prompt could never be placed."""
     table = loadtable_test.make_table("a", "b", "c")
     query = make_query(1_000_000, avoid=frozenset("a"))
     placement = policy.choose(query, table, 0.0)
     assert set(placement.list_endpoints()) == {"a", "b", "c"}
 
 
-def test_naive_policy_sends_to_the_fewest_requests():
+def test_naive_policy_chooses_the_engine_with_the_fewest_requests():
     table = loadtable_test.make_table("a", "b")
     table.add(loadtable_test.make_grant(tokens=1))
     chosen = naive.NaivePolicy().choose(make_query(), table, 0.0)
     assert chosen == placements.Placement("b", "b", 0)
 
 
-def test_length_aware_policy_splits_the_phases_by_role():
+def test_length_aware_policy_places_prefill_and_decode_by_role():
     table = loadtable_test.make_table("p", "q", "d", roles="ppd")
     policy = length_aware.LengthAwarePolicy()
     placement = policy.choose(make_query(), table, 0.0)
     assert placement.prefill_id in "pq"
     assert placement.decode_id == "d"
-    # One that would fill much of the decode engine stays where it is.
+    # A prompt that would fill much of the decode engine does not move.
     long = policy.choose(make_query(300_000), table, 0.0)
     assert not long.handed_over
 
@@ -132,7 +132,7 @@
     assert ranks[0] < ranks[1] <= ranks[2]
 
 
-def test_length_aware_policy_waits_for_memory_instead_of_cutting():
+def test_length_aware_policy_waits_for_memory_instead_of_splitting():
     table = loadtable_test.make_table("a")
     table.find("a").other_kv = 350_000
     policy = length_aware.LengthAwarePolicy()
--- a/rhubarblock/routing/quarantine/__init__.py
+++ b/rhubarblock/routing/quarantine/__init__.py
@@ -1,6 +1,8 @@
 """Keeps requests that crash endpoints from crashing more of them.
 
-Others use ``gate``, which lets requests pass. Read on in ``flight`` (what runs
-where), ``book`` (which requests are blamed), ``desk`` (one copy of a suspect at
-a time), ``keeper`` (what outlasts the instances) and ``wire`` (facts as bytes).
+Callers use ``gate``, which admits or refuses requests. ``inflight`` tracks
+which request runs where, ``registry`` holds the crashes and decides which
+requests are suspect or in quarantine, ``permitissuer`` lets one copy of a
+suspect run at a time, ``storesync`` persists the quarantines, and ``wire``
+encodes facts for the wire.
 """
--- a/rhubarblock/routing/quarantine/gate_test.py
+++ b/rhubarblock/routing/quarantine/gate_test.py
@@ -18,8 +18,8 @@
 REFUSE = quarantine.Decision.REFUSE
 
 
-class Bench:
-    """Instances a, b and c; the desk is at a."""
+class Harness:
+    """Instances a, b and c; instance a issues the permits."""
 
     def __init__(self):
         self.clock = timers.LoopTimers(1000.0)
@@ -49,90 +49,90 @@
 
 def run(check):
     async def main():
-        await check(Bench())
+        await check(Harness())
 
     virtualloop.run(main())
 
 
-def crash(bench, name, endpoint_id, digests):
-    return bench.nodes[name].record_crash(endpoint_id, digests)
+def crash(harness, name, endpoint_id, digests):
+    return harness.nodes[name].record_crash(endpoint_id, digests)
 
 
-def test_all_know_of_a_crash_before_anything_is_tried_again():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1})
-        assert bench.decide_all("p") == [ISOLATE] * 3
-        await crash(bench, "b", "e2", {"p": 0.1})
-        assert bench.decide_all("p") == [REFUSE] * 3
+def test_crash_is_known_to_all_peers_before_any_request_is_retried():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1})
+        assert harness.decide_all("p") == [ISOLATE] * 3
+        await crash(harness, "b", "e2", {"p": 0.1})
+        assert harness.decide_all("p") == [REFUSE] * 3
 
     run(check)
 
 
-def test_a_peer_that_cannot_be_reached_holds_nobody_up_for_long():
-    async def check(bench):
-        bench.network.cut({"c"}, {"a", "b"})
-        await crash(bench, "a", "e1", {"p": 0.1})
-        assert bench.clock.read_monotonic() == pytest.approx(0.2, abs=0.01)
-        assert bench.nodes["b"].decide("p") is ISOLATE
+def test_an_unreachable_peer_delays_a_broadcast_only_until_the_timeout():
+    async def check(harness):
+        harness.network.cut({"c"}, {"a", "b"})
+        await crash(harness, "a", "e1", {"p": 0.1})
+        assert harness.clock.read_monotonic() == pytest.approx(0.2, abs=0.01)
+        assert harness.nodes["b"].decide("p") is ISOLATE
 
     run(check)
 
 
 def test_a_suspect_runs_in_one_copy_at_a_time():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1, "x": 0.1, "y": 0.1})
-        first = (await bench.acquire("a", "p")).unwrap()
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1, "x": 0.1, "y": 0.1})
+        first = (await harness.acquire("a", "p")).unwrap()
         assert first.endpoint_id in ENDPOINTS
-        refusal = (await bench.acquire("b", "p", 2.0)).failure()
+        refusal = (await harness.acquire("b", "p", 2.0)).failure()
         assert refusal == failures.Failure(
             failures.FailureCode.NO_ENDPOINT,
             "the request is suspected of crashing endpoints and has to wait",
             verdicts.Verdict.NOT_RUN,
             1.0,
         )
-        await bench.nodes["a"].release(first)
-        assert isinstance(await bench.acquire("b", "p"), result.Success)
+        await harness.nodes["a"].release(first)
+        assert isinstance(await harness.acquire("b", "p"), result.Success)
 
     run(check)
 
 
-def test_suspects_are_probed_on_endpoints_of_their_own():
-    async def check(bench):
+def test_suspects_are_probed_on_reserved_endpoints():
+    async def check(harness):
         suspects = {"p": 0.1, "x": 0.1, "y": 0.1}
-        await crash(bench, "a", "e1", suspects)
+        await crash(harness, "a", "e1", suspects)
         permits = [
-            (await bench.acquire("a", digest)).value_or(None)
+            (await harness.acquire("a", digest)).value_or(None)
             for digest in suspects
         ]
-        kept = bench.nodes["c"].list_reserved("pool", ENDPOINTS)
-        assert len(kept) == 2
-        assert {p.endpoint_id for p in permits[:2]} == kept
+        reserved = harness.nodes["c"].list_reserved("pool", ENDPOINTS)
+        assert len(reserved) == 2
+        assert {p.endpoint_id for p in permits[:2]} == reserved
         assert permits[2] is None
-        # The next one begins once the first ones are probed, which counts from
-        # their first tokens.
+        # The next suspect starts when the first ones have been probed, which
+        # counts from their first tokens.
         for permit in permits[:2]:
-            bench.nodes["a"].note_started(permit)
-        assert (await bench.acquire("a", "y", 2.0)).unwrap() is not None
-        await bench.clock.sleep(6.0)
-        assert not bench.nodes["c"].list_reserved("pool", ENDPOINTS)
+            harness.nodes["a"].note_started(permit)
+        assert (await harness.acquire("a", "y", 2.0)).unwrap() is not None
+        await harness.clock.sleep(6.0)
+        assert not harness.nodes["c"].list_reserved("pool", ENDPOINTS)
 
     run(check)
 
 
-def test_what_nobody_suspects_may_run_anywhere():
-    async def check(bench):
-        assert (await bench.acquire("a", "x")).unwrap() is None
-        await crash(bench, "a", "e1", {"p": 0.1})
-        assert (await bench.acquire("a", "x")).unwrap() is None
+def test_a_request_without_suspicion_may_run_anywhere():
+    async def check(harness):
+        assert (await harness.acquire("a", "x")).unwrap() is None
+        await crash(harness, "a", "e1", {"p": 0.1})
+        assert (await harness.acquire("a", "x")).unwrap() is None
 
     run(check)
 
 
-def test_a_quarantined_request_is_refused_with_its_end():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1})
-        await crash(bench, "a", "e2", {"p": 0.1})
-        refusal = (await bench.acquire("c", "p")).failure()
+def test_a_refusal_contains_the_remaining_quarantine():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1})
+        await crash(harness, "a", "e2", {"p": 0.1})
+        refusal = (await harness.acquire("c", "p")).failure()
         assert refusal.code is failures.FailureCode.QUARANTINED
         assert refusal.verdict is verdicts.Verdict.NOT_RUN
         assert refusal.retry_after_s == pytest.approx(3600.0, abs=0.1)
@@ -140,61 +140,64 @@
     run(check)
 
 
-def test_a_waiting_suspect_runs_once_the_cause_is_found():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1, "x": 0.1})
-        permit = (await bench.acquire("a", "p")).unwrap()
-        await crash(bench, "a", permit.endpoint_id, {"p": 0.1})
-        assert (await bench.acquire("b", "x")).unwrap() is None
+def test_a_waiting_suspect_runs_freely_once_the_cause_is_known():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1, "x": 0.1})
+        permit = (await harness.acquire("a", "p")).unwrap()
+        await crash(harness, "a", permit.endpoint_id, {"p": 0.1})
+        assert (await harness.acquire("b", "x")).unwrap() is None
 
     run(check)
 
 
-def test_a_suspect_that_outlasts_its_probe_is_not_blamed():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"x": 0.5})
-        permit = (await bench.acquire("a", "x")).unwrap()
-        with bench.nodes["a"].track([permit.endpoint_id], "x"):
-            bench.nodes["a"].note_started(permit)
-            await bench.clock.sleep(2.5)
-            await bench.nodes["a"].record_crash(permit.endpoint_id)
-        assert bench.decide_all("x") == [ISOLATE] * 3
+def test_a_suspect_that_completed_its_probe_is_not_the_cause():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"x": 0.5})
+        permit = (await harness.acquire("a", "x")).unwrap()
+        with harness.nodes["a"].track([permit.endpoint_id], "x"):
+            harness.nodes["a"].note_started(permit)
+            await harness.clock.sleep(2.5)
+            await harness.nodes["a"].record_crash(permit.endpoint_id)
+        assert harness.decide_all("x") == [ISOLATE] * 3
 
     run(check)
 
 
-def test_time_that_a_suspect_only_waited_does_not_speak_for_it():
-    """Found by ``measure faults --kind poison_request --seed 1``."""
+def test_waiting_time_does_not_count_as_probe_time():
+    """A suspect that waited for memory when its endpoint died is the cause.
 
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.5})
-        permit = (await bench.acquire("a", "p")).unwrap()
-        with bench.nodes["a"].track([permit.endpoint_id], "p"):
-            await bench.clock.sleep(2.5)
-            await bench.nodes["a"].record_crash(permit.endpoint_id)
-        assert bench.decide_all("p") == [REFUSE] * 3
+    See ``measure faults --kind poison_request --seed 1``.
+    """
+
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.5})
+        permit = (await harness.acquire("a", "p")).unwrap()
+        with harness.nodes["a"].track([permit.endpoint_id], "p"):
+            await harness.clock.sleep(2.5)
+            await harness.nodes["a"].record_crash(permit.endpoint_id)
+        assert harness.decide_all("p") == [REFUSE] * 3
 
     run(check)
 
 
-def test_nothing_begins_beside_a_suspect_that_waits():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1, "x": 0.1, "y": 0.1})
+def test_no_suspect_starts_beside_one_that_has_not_produced_a_token():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1, "x": 0.1, "y": 0.1})
         for digest in "px":
-            assert (await bench.acquire("a", digest)).unwrap()
-        assert (await bench.acquire("b", "y", 2.0)).value_or(None) is None
+            assert (await harness.acquire("a", digest)).unwrap()
+        assert (await harness.acquire("b", "y", 2.0)).value_or(None) is None
 
     run(check)
 
 
-def test_what_died_with_an_endpoint_is_still_known_a_moment_later():
-    async def check(bench):
-        node = bench.nodes["a"]
+def test_requests_that_failed_with_an_endpoint_stay_listed_for_a_moment():
+    async def check(harness):
+        node = harness.nodes["a"]
         with contextlib.suppress(ConnectionError), node.track(["e1"], "p"):
             raise ConnectionError
         with node.track(["e1"], "x"):
             pass
-        await bench.clock.sleep(0.5)
+        await harness.clock.sleep(0.5)
         await node.record_crash("e1")
         assert node.decide("p") is ISOLATE
         assert node.decide("x") is quarantine.Decision.ALLOW
@@ -202,65 +205,65 @@
     run(check)
 
 
-def test_a_digest_that_ran_well_before_is_not_suspect_at_once():
-    async def check(bench):
-        node = bench.nodes["a"]
+def test_a_digest_with_earlier_successes_is_not_suspect_after_one_crash():
+    async def check(harness):
+        node = harness.nodes["a"]
         node.record_finished("x")
         node.record_finished("x")
-        await crash(bench, "a", "e1", {"x": 0.1})
+        await crash(harness, "a", "e1", {"x": 0.1})
         assert node.decide("x") is quarantine.Decision.ALLOW
-        await crash(bench, "a", "e2", {"x": 0.1})
+        await crash(harness, "a", "e2", {"x": 0.1})
         assert node.decide("x") is ISOLATE
 
     run(check)
 
 
-def test_a_starting_instance_reads_what_is_kept():
-    async def check(bench):
-        async with bench.nodes["a"].run():
-            await crash(bench, "a", "e1", {"p": 0.1})
-            await crash(bench, "a", "e2", {"p": 0.1})
-            await bench.clock.sleep(1.0)
-            late = bench.create(quarantine.Peer("d", "d"))
+def test_a_starting_instance_reads_the_stored_quarantines():
+    async def check(harness):
+        async with harness.nodes["a"].run():
+            await crash(harness, "a", "e1", {"p": 0.1})
+            await crash(harness, "a", "e2", {"p": 0.1})
+            await harness.clock.sleep(1.0)
+            late = harness.create(quarantine.Peer("d", "d"))
             async with late.run():
                 assert late.decide("p") is REFUSE
 
     run(check)
 
 
-def test_two_instances_keep_what_both_know():
-    async def check(bench):
-        bench.network.cut({"a"}, {"b", "c"})
+def test_concurrent_updates_store_the_quarantines_of_both_instances():
+    async def check(harness):
+        harness.network.cut({"a"}, {"b", "c"})
         for name, digest in (("a", "p"), ("b", "q")):
-            await crash(bench, name, "e1", {digest: 0.1})
-            await bench.clock.sleep(3.0)
-            await crash(bench, name, "e1", {digest: 0.1})
-        async with bench.nodes["a"].run(), bench.nodes["b"].run():
-            await bench.clock.sleep(200.0)
+            await crash(harness, name, "e1", {digest: 0.1})
+            await harness.clock.sleep(3.0)
+            await crash(harness, name, "e1", {digest: 0.1})
+        async with harness.nodes["a"].run(), harness.nodes["b"].run():
+            await harness.clock.sleep(200.0)
             assert [
-                [q.digest for q in bench.nodes[name].list_quarantined()]
+                [q.digest for q in harness.nodes[name].list_quarantined()]
                 for name in "ab"
             ] == [["p", "q"]] * 2
 
     run(check)
 
 
-def test_state_travels_with_other_messages():
-    async def check(bench):
-        bench.network.cut({"a"}, {"b", "c"})
-        await crash(bench, "a", "e1", {"p": 0.1})
-        bench.nodes["b"].merge_state(bench.nodes["a"].export_state())
-        bench.nodes["b"].merge_state(b"\xff\xff no facts")
-        assert bench.nodes["b"].decide("p") is ISOLATE
+def test_exported_state_is_merged_and_invalid_bytes_are_ignored():
+    async def check(harness):
+        harness.network.cut({"a"}, {"b", "c"})
+        await crash(harness, "a", "e1", {"p": 0.1})
+        harness.nodes["b"].merge_state(harness.nodes["a"].export_state())
+        harness.nodes["b"].merge_state(b"\xff\xff no facts")
+        assert harness.nodes["b"].decide("p") is ISOLATE
 
     run(check)
 
 
-def test_an_operator_lets_a_digest_go_everywhere():
-    async def check(bench):
-        await crash(bench, "a", "e1", {"p": 0.1})
-        await crash(bench, "a", "e2", {"p": 0.1})
-        await bench.nodes["b"].forgive("p")
-        assert bench.decide_all("p") == [quarantine.Decision.ALLOW] * 3
+def test_an_operator_clears_a_digest_at_all_instances():
+    async def check(harness):
+        await crash(harness, "a", "e1", {"p": 0.1})
+        await crash(harness, "a", "e2", {"p": 0.1})
+        await harness.nodes["b"].clear("p")
+        assert harness.decide_all("p") == [quarantine.Decision.ALLOW] * 3
 
     run(check)
--- a/rhubarblock/routing/quarantine/desk.py
+++ b/rhubarblock/routing/quarantine/permitissuer.py
@@ -1,7 +1,8 @@
-"""Lets one copy of a suspect run at a time, and alone until it is probed.
+"""Lets one copy of a suspect run at a time, isolated until it is probed.
 
-The desk of a service is held by one instance. When two hold it for a while,
-a suspect may run twice at once: that costs an endpoint, never a promise.
+One instance issues the permits of a service. If two instances do so for a
+while, a suspect may run twice at once: that may cost an endpoint, but it breaks
+no guarantee.
 """
 
 from collections.abc import Iterable
@@ -17,8 +18,8 @@
     until_s: float
 
 
-class PermitDesk:
-    """Permits of the suspects of all services."""
+class PermitIssuer:
+    """Issues the permits for the suspects of all services."""
 
     __slots__ = ("_permits", "_timers")
 
@@ -34,18 +35,18 @@
         probe_s: float,
         hold_s: float,
     ) -> str | None:
-        """Grants a permit if no copy runs and an endpoint probes no other.
+        """Grants a permit if no copy runs and an endpoint is free to probe it.
 
         Args:
           service: service of the endpoints.
           digest: the suspect.
-          endpoint_ids: where it may run, the preferred one first.
-          probe_s: time for which no other suspect may begin there, if it never
-            starts; see ``start``.
-          hold_s: time after which the permit lapses.
+          endpoint_ids: where it may run, the preferred endpoint first.
+          probe_s: seconds for which no other suspect may start there if this
+            one never starts; see ``start``.
+          hold_s: seconds after which the permit expires.
 
         Returns:
-          Where it may run, or None when it has to wait.
+          Where it may run, or None if it has to wait.
         """
         now_s = self._timers.read_monotonic()
         self._permits = {
@@ -69,7 +70,7 @@
         return None
 
     def start(self, service: str, digest: str, probe_s: float) -> None:
-        """Notes that a copy runs, so that its probe ends in a known time."""
+        """Records that a copy has started, which fixes the end of its probe."""
         permit = self._permits.get((service, digest))
         if permit is not None:
             now_s = self._timers.read_monotonic()
--- a/rhubarblock/routing/quarantine/registry.py
+++ b/rhubarblock/routing/quarantine/registry.py
@@ -1,10 +1,10 @@
-"""What one instance knows of crashes, and which digests it blames.
+"""The crashes that one instance knows, and the request digests they implicate.
 
-The book is a set of facts that only grows until they lapse: crashes with what
-was in flight, digests that ran to their end, digests in quarantine. Instances
-that hear of crashes in another order may judge differently for a moment; once
-they exchanged their facts they judge the same. Times are wall clock, as they
-are compared between instances.
+The registry is a set of facts that only grows until they expire: crashes with
+the digests that were in flight, digests that ran to completion, digests in
+quarantine. Instances that receive crashes in a different order may decide
+differently for a moment; once they have exchanged their facts they decide the
+same. Times are wall clock, as they are compared between instances.
 """
 
 from collections.abc import Callable
@@ -18,27 +18,29 @@
 
 T = TypeVar("T")
 
-# A request that began at most this long before the crash is a likely cause,
-# an older one an unlikely one, in seconds.
+# A request that started at most this long before the crash is a likely cause,
+# an older one an unlikely cause, in seconds.
 YOUNG_S = 1.5
 # What a crash adds to the score of a digest that was in flight.
 YOUNG_SCORE = 2
 OLD_SCORE = 1
-# Score from which a digest is suspect, and from which it is the cause if no
-# other digest of its latest crash has as much: two likely crashes.
+# Score from which a digest is suspect, and score from which it is the cause if
+# no other digest of its latest crash has as much: two crashes as a likely
+# cause.
 SUSPECT_SCORE = 2
 CAUSE_SCORE = 4
-# Time for which a crash makes its digests suspect, in seconds.
+# Seconds for which a crash makes its digests suspect.
 SUSPECT_S = 300.0
-# Time for which a digest stays in quarantine, in seconds.
+# Seconds for which a digest stays in quarantine.
 QUARANTINE_S = 3600.0
-# Crashes of one endpoint that are seen closer together are one, in seconds:
-# instances see its end at different moments.
+# Crashes of one endpoint that are seen within these seconds are the same crash:
+# instances notice it at different times.
 SAME_CRASH_S = 2.0
-# When so many endpoints end within this time, the cause is not one request.
+# If so many endpoints end within this time, in seconds, the cause is not a
+# single request.
 MASS_ENDPOINTS = 3
 MASS_S = 2.0
-# Bounds of the book: the oldest facts go first.
+# Bounds of the registry; the oldest facts are dropped first.
 MAX_CRASHES = 128
 MAX_DIGESTS = 512
 MAX_CLEARED = 1024
@@ -48,10 +50,10 @@
 
 
 class Decision(enum.Enum):
-    """What may be done with a request."""
+    """How a request may be handled."""
 
     ALLOW = "allow"
-    ISOLATE = "isolate"  # Run one copy, where no other suspect runs.
+    ISOLATE = "isolate"  # Run a single copy, away from other suspects.
     REFUSE = "refuse"
 
 
@@ -61,10 +63,10 @@
 
     Attributes:
       endpoint_id: the endpoint.
-      at_s: when it was first seen.
-      young: digests in flight there that had just begun.
-      old: the others.
-      cause: digest held to be the cause, or empty.
+      at_s: when it was first noticed.
+      young: digests in flight there that had just started.
+      old: other digests in flight there.
+      cause: digest that counts as the cause, or empty.
     """
 
     endpoint_id: str
@@ -74,20 +76,20 @@
     cause: str = ""
 
     def merge(self, other: "Crash") -> bool:
-        """Takes in what another instance saw; returns whether it is news."""
+        """Merges another instance's view; returns whether this one changed."""
         before = len(self.young), len(self.old), self.cause
         self.young |= other.young
         self.old |= other.old
         self.cause = min(filter(None, (self.cause, other.cause)), default="")
         return (len(self.young), len(self.old), self.cause) != before
 
-    def cut(self, limit: int) -> None:
-        """Drops digests beyond a number, unlikely ones first."""
+    def truncate(self, limit: int) -> None:
+        """Drops digests beyond a number, unlikely causes first."""
         self.young = set(sorted(self.young)[:limit])
         self.old = set(sorted(self.old)[: limit - len(self.young)])
 
     def scores(self) -> Iterator[tuple[str, int]]:
-        """Yields each digest with what this crash adds to its score."""
+        """Yields each digest with the score that this crash adds to it."""
         for digest in self.young:
             yield digest, YOUNG_SCORE
         for digest in self.old - self.young:
@@ -95,13 +97,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Quarantine:
-    """A digest that is not run.
+class QuarantineRecord:
+    """A digest in quarantine, which is refused.
 
     Attributes:
       digest: shortened digest.
-      at_s: begin.
-      crashes: crashes that are laid to it.
+      at_s: start of the quarantine.
+      crashes: number of crashes attributed to it.
     """
 
     digest: str
@@ -110,30 +112,33 @@
 
     @property
     def until_s(self) -> float:
-        """Its end."""
+        """End of the quarantine."""
         return self.at_s + QUARANTINE_S
 
 
 @dataclasses.dataclass(slots=True)
 class Facts:
-    """Facts as they go from one book to another.
+    """Facts that registries exchange.
 
     Attributes:
       crashes: ends of endpoints.
-      cleared: digests that ran to their end or were let go, and when.
+      cleared: digests that ran to completion or were cleared by an operator,
+        and when.
       quarantined: digests in quarantine.
-      kept: services of which endpoints are kept for suspects, and how long.
+      reserved: services with endpoints reserved for suspects, and until when.
     """
 
     crashes: list[Crash] = dataclasses.field(default_factory=list)
     cleared: dict[str, float] = dataclasses.field(default_factory=dict)
-    quarantined: list[Quarantine] = dataclasses.field(default_factory=list)
-    kept: dict[str, float] = dataclasses.field(default_factory=dict)
+    quarantined: list[QuarantineRecord] = dataclasses.field(
+        default_factory=list
+    )
+    reserved: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """What speaks against a digest.
+    """The evidence against a digest.
 
     Attributes:
       score: sum over its crashes.
@@ -148,17 +153,23 @@
 class QuarantineRegistry:
     """The facts that one instance knows."""
 
-    __slots__ = ("_cleared", "_crashes", "_kept", "_quarantined", "_suspicions")
+    __slots__ = (
+        "_cleared",
+        "_crashes",
+        "_quarantined",
+        "_reserved",
+        "_suspicions",
+    )
 
     def __init__(self) -> None:
         self._crashes: list[Crash] = []
         self._cleared: dict[str, float] = {}
-        self._quarantined: dict[str, Quarantine] = {}
-        self._kept: dict[str, float] = {}
+        self._quarantined: dict[str, QuarantineRecord] = {}
+        self._reserved: dict[str, float] = {}
         self._suspicions: dict[str, Suspicion] = {}
 
     def decide(self, digest: str, now_s: float) -> Decision:
-        """Returns what may be done with a request."""
+        """Returns how a request may be handled."""
         if not self._quarantined and not self._suspicions:
             return Decision.ALLOW
         key = shorten(digest)
@@ -172,32 +183,32 @@
             return Decision.ALLOW
         return Decision.ISOLATE
 
-    def find_quarantine(self, digest: str) -> Quarantine | None:
-        """Returns the quarantine of a digest, lapsed or not, or None."""
+    def find_quarantine(self, digest: str) -> QuarantineRecord | None:
+        """Returns the quarantine of a digest, expired or not, or None."""
         return self._quarantined.get(shorten(digest))
 
-    def list_quarantined(self, now_s: float) -> list[Quarantine]:
+    def list_quarantined(self, now_s: float) -> list[QuarantineRecord]:
         """Returns the quarantines in force, the oldest first."""
         present = (q for q in self._quarantined.values() if now_s < q.until_s)
         return sorted(present, key=lambda q: (q.at_s, q.digest))
 
-    def is_kept(self, service: str, now_s: float) -> bool:
-        """Says whether endpoints of a service are kept for suspects."""
-        return now_s < self._kept.get(service, 0.0)
+    def is_reserved(self, service: str, now_s: float) -> bool:
+        """Says whether endpoints of a service are reserved for suspects."""
+        return now_s < self._reserved.get(service, 0.0)
 
     def add_crash(
         self, endpoint_id: str, ages: Mapping[str, float], now_s: float
     ) -> Facts:
-        """Notes the end of an endpoint.
+        """Records the end of an endpoint.
 
         Args:
           endpoint_id: the endpoint.
-          ages: digests that this instance had in flight there, and for how
-            many seconds.
+          ages: digests that this instance had in flight there, and their ages
+            in seconds.
           now_s: wall clock.
 
         Returns:
-          The facts to tell others.
+          The facts to announce to the peers.
         """
         young = {shorten(d) for d, age_s in ages.items() if age_s <= YOUNG_S}
         old = {shorten(d) for d, age_s in ages.items() if age_s > YOUNG_S}
@@ -205,20 +216,20 @@
         return self.merge(Facts(crashes=[crash]), now_s)
 
     def clear(self, digest: str, now_s: float) -> Facts:
-        """Notes that a digest ran to its end or is let go.
+        """Records that a digest ran to completion or is cleared.
 
         Returns:
-          The facts to tell others; none when nothing spoke against it.
+          The facts to announce; empty without any evidence against the digest.
         """
         key = shorten(digest)
         if key not in self._suspicions and key not in self._quarantined:
             return Facts()
         return self.merge(Facts(cleared={key: now_s}), now_s)
 
-    def keep(self, service: str, until_s: float) -> Facts:
-        """Notes that endpoints of a service are kept for suspects."""
-        self._kept[service] = until_s
-        return Facts(kept={service: until_s})
+    def reserve(self, service: str, until_s: float) -> Facts:
+        """Records that endpoints of a service are reserved for suspects."""
+        self._reserved[service] = until_s
+        return Facts(reserved={service: until_s})
 
     def read_facts(self) -> Facts:
         """Returns all facts."""
@@ -226,45 +237,48 @@
             list(self._crashes),
             dict(self._cleared),
             list(self._quarantined.values()),
-            dict(self._kept),
+            dict(self._reserved),
         )
 
     def merge(self, facts: Facts, now_s: float) -> Facts:
-        """Takes in facts and judges anew.
+        """Merges facts and re-evaluates causes and suspicions.
 
         Args:
           facts: from this instance or another one.
           now_s: wall clock.
 
         Returns:
-          Those that were news here, and what followed from them.
+          The facts that were new here, and the quarantines that followed from
+          them.
         """
         before = set(self._quarantined)
-        news = Facts()
+        changes = Facts()
         for crash in facts.crashes:
             merged = self._merge_crash(crash)
             if merged is not None:
-                news.crashes.append(merged)
+                changes.crashes.append(merged)
         for digest, at_s in facts.cleared.items():
             if at_s > self._cleared.get(digest, -math.inf):
-                self._cleared[digest] = news.cleared[digest] = at_s
+                self._cleared[digest] = changes.cleared[digest] = at_s
         for quarantine in facts.quarantined:
             known = self._quarantined.get(quarantine.digest)
             if known is None or known.at_s < quarantine.at_s:
                 self._quarantined[quarantine.digest] = quarantine
-        for service, until_s in facts.kept.items():
-            self._kept[service] = max(until_s, self._kept.get(service, 0.0))
-        self._forget(now_s)
-        self._judge(now_s)
-        news.quarantined = [
+        for service, until_s in facts.reserved.items():
+            self._reserved[service] = max(
+                until_s, self._reserved.get(service, 0.0)
+            )
+        self._drop_expired(now_s)
+        self._update_suspicions(now_s)
+        changes.quarantined = [
             quarantine
             for digest, quarantine in self._quarantined.items()
             if digest not in before
         ]
-        return news
+        return changes
 
     def _merge_crash(self, crash: Crash) -> Crash | None:
-        """Merges a crash; returns it as known now if that is news."""
+        """Merges a crash; returns the result, or None if nothing changed."""
         for known in self._crashes:
             is_near = abs(known.at_s - crash.at_s) <= SAME_CRASH_S
             if known.endpoint_id == crash.endpoint_id and is_near:
@@ -275,8 +289,8 @@
         self._crashes.append(copied)
         return copied
 
-    def _forget(self, now_s: float) -> None:
-        """Drops what lapsed and keeps to the bounds."""
+    def _drop_expired(self, now_s: float) -> None:
+        """Drops expired facts and enforces the bounds."""
         self._quarantined = {
             digest: quarantine
             for digest, quarantine in self._quarantined.items()
@@ -290,7 +304,7 @@
         del self._crashes[:-MAX_CRASHES]
         for crash in self._crashes:
             if len(crash.young) + len(crash.old) > MAX_DIGESTS:
-                crash.cut(MAX_DIGESTS)
+                crash.truncate(MAX_DIGESTS)
         self._cleared = {
             digest: at_s
             for digest, at_s in self._cleared.items()
@@ -299,8 +313,8 @@
         _drop_oldest(self._cleared, MAX_CLEARED, lambda at_s: at_s)
         _drop_oldest(self._quarantined, MAX_QUARANTINED, lambda q: q.at_s)
 
-    def _judge(self, now_s: float) -> None:
-        """Finds causes, and then who is suspect."""
+    def _update_suspicions(self, now_s: float) -> None:
+        """Finds the causes of crashes, and then the remaining suspects."""
         for crash in self._crashes:
             known = (crash.young | crash.old) & self._quarantined.keys()
             if known and not crash.cause:
@@ -311,14 +325,16 @@
             if cause is None:
                 return
             crashes = self._suspicions[cause].crashes
-            self._quarantined[cause] = Quarantine(cause, now_s, len(crashes))
+            self._quarantined[cause] = QuarantineRecord(
+                cause, now_s, len(crashes)
+            )
             for crash in crashes:
-                # Its neighbours in these crashes are innocent.
+                # The other digests in these crashes are innocent.
                 crash.cause = cause
 
     def _find_suspicions(self) -> dict[str, Suspicion]:
         suspicions: dict[str, Suspicion] = {}
-        mass = self._find_mass()
+        mass = self._find_mass_failures()
         for crash in self._crashes:
             if crash.cause:
                 continue
@@ -335,14 +351,14 @@
             or id(suspicion.crashes[0]) not in mass
         }
 
-    def _find_mass(self) -> set[int]:
-        """Returns the crashes without a cause that came with many others."""
+    def _find_mass_failures(self) -> set[int]:
+        """Returns crashes without a cause that coincide with many others."""
         mass: set[int] = set()
-        open_crashes = [crash for crash in self._crashes if not crash.cause]
-        for first in open_crashes:
+        unexplained = [crash for crash in self._crashes if not crash.cause]
+        for first in unexplained:
             group = [
                 crash
-                for crash in open_crashes
+                for crash in unexplained
                 if 0 <= crash.at_s - first.at_s <= MASS_S
             ]
             if len({crash.endpoint_id for crash in group}) >= MASS_ENDPOINTS:
@@ -351,20 +367,22 @@
 
     def _find_cause(self) -> str | None:
         """Returns a digest that stands out in its latest crash."""
-        heavy = {
+        candidates = {
             digest: suspicion.crashes[-1]
             for digest, suspicion in self._suspicions.items()
             if suspicion.score >= CAUSE_SCORE
         }
-        for digest, latest in sorted(heavy.items(), key=lambda item: item[0]):
+        for digest, latest in sorted(
+            candidates.items(), key=lambda item: item[0]
+        ):
             in_flight = latest.young | latest.old
-            if len(in_flight & heavy.keys()) == 1:
+            if len(in_flight & candidates.keys()) == 1:
                 return digest
         return None
 
 
 def shorten(digest: str) -> str:
-    """Returns the form of a digest that books use."""
+    """Returns the shortened form of a digest that registries use."""
     if len(digest) <= _KEY_CHARACTERS:
         return digest
     try:
--- a/rhubarblock/routing/quarantine/keeper.py
+++ b/rhubarblock/routing/quarantine/storesync.py
@@ -1,7 +1,8 @@
-"""Keeps the quarantines in the platform, in one bounded object.
+"""Persists the quarantines in the platform's store, in one bounded object.
 
-An instance that starts reads them, and a conditional update adds what is
-known here; a write whose answer was lost is made good by the next reading.
+A starting instance reads them; a conditional update then adds those that are
+known here. If the answer to a write is lost, the next synchronisation repairs
+it.
 """
 
 import dataclasses
@@ -14,43 +15,43 @@
 
 OBJECT_NAME = "quarantine/book"
 
-# Tries of a conditional update; the next reading tries again.
+# Attempts of a conditional update; the next synchronisation tries again.
 _TRIES = 5
 
 
 @dataclasses.dataclass(slots=True)
-class KeeperCounters:
-    """What the keeper counted since its start."""
+class SyncCounters:
+    """Counters of the synchronisation since its start."""
 
     writes: int = 0
     failures: int = 0
 
 
-class QuarantineKeeper:
-    """Brings one book and the platform's object together."""
+class QuarantineSync:
+    """Synchronises one registry with the stored object."""
 
-    __slots__ = ("_book", "_store", "_timers", "counters")
+    __slots__ = ("_registry", "_store", "_timers", "counters")
 
     def __init__(
         self,
         timers: timers_lib.Timers,
         store: stores.ObjectStore | None,
-        book: quarantineregistry.QuarantineRegistry,
+        registry: quarantineregistry.QuarantineRegistry,
     ):
-        """Creates a keeper.
+        """Creates the synchronisation.
 
         Args:
           timers: the timer service.
-          store: the object API, or None to keep nothing.
-          book: the book of this instance.
+          store: the object API, or None to persist nothing.
+          registry: the registry of this instance.
         """
         self._timers = timers
         self._store = store
-        self._book = book
-        self.counters = KeeperCounters()
+        self._registry = registry
+        self.counters = SyncCounters()
 
     async def sync(self) -> None:
-        """Reads what is kept and adds what is known here."""
+        """Reads the stored quarantines and adds those known here."""
         if self._store is None:
             return
         for _ in range(_TRIES):
@@ -63,20 +64,20 @@
                     return
 
     async def _sync_once(self, store: stores.ObjectStore) -> None:
-        kept, version = b"", positions.NOWHERE
+        stored, version = b"", positions.NOWHERE
         try:
             found = await store.read(OBJECT_NAME)
-            kept, version = found.value, found.version
+            stored, version = found.value, found.version
         except stores.StoreError as error:
             if error.kind is not stores.StoreErrorKind.NOT_FOUND:
                 raise
         now_s = self._timers.read_wall()
-        self._book.merge(quarantinewire.decode_facts(kept), now_s)
+        self._registry.merge(quarantinewire.decode_facts(stored), now_s)
         facts = quarantineregistry.Facts(
-            cleared=self._book.read_facts().cleared,
-            quarantined=self._book.list_quarantined(now_s),
+            cleared=self._registry.read_facts().cleared,
+            quarantined=self._registry.list_quarantined(now_s),
         )
         wanted = quarantinewire.encode_facts(facts)
-        if wanted != kept:
+        if wanted != stored:
             await store.write(OBJECT_NAME, wanted, version)
             self.counters.writes += 1
--- a/rhubarblock/routing/quarantine/wire.py
+++ b/rhubarblock/routing/quarantine/wire.py
@@ -1,4 +1,4 @@
-"""Facts of the quarantine book as bytes."""
+"""Encodes and decodes the facts of the quarantine registry."""
 
 from rhubarblock.routing.quarantine import quarantine_pb2
 from rhubarblock.routing.quarantine import registry as quarantineregistry
@@ -7,7 +7,7 @@
 
 
 def encode_facts(facts: quarantineregistry.Facts) -> bytes:
-    """Returns the bytes that stand for facts; equal facts give equal bytes."""
+    """Encodes facts; equal facts give equal bytes."""
     state = quarantine_pb2.QuarantineState(
         crashes=[
             quarantine_pb2.Crash(
@@ -35,17 +35,17 @@
             quarantine_pb2.Kept(
                 service=service, until_ms=int(until_s * _MS_PER_S)
             )
-            for service, until_s in sorted(facts.kept.items())
+            for service, until_s in sorted(facts.reserved.items())
         ],
     )
     return state.SerializeToString()
 
 
 def decode_facts(payload: bytes) -> quarantineregistry.Facts:
-    """Returns the facts that bytes stand for.
+    """Decodes facts.
 
     Raises:
-      google.protobuf.message.DecodeError: the bytes are no facts.
+      google.protobuf.message.DecodeError: the bytes are no encoded facts.
     """
     state = quarantine_pb2.QuarantineState.FromString(payload)
     return quarantineregistry.Facts(
@@ -64,12 +64,14 @@
             for cleared in state.cleared
         },
         quarantined=[
-            quarantineregistry.Quarantine(
+            quarantineregistry.QuarantineRecord(
                 quarantined.digest,
                 quarantined.at_ms / _MS_PER_S,
                 quarantined.crashes,
             )
             for quarantined in state.quarantined
         ],
-        kept={kept.service: kept.until_ms / _MS_PER_S for kept in state.kept},
+        reserved={
+            kept.service: kept.until_ms / _MS_PER_S for kept in state.kept
+        },
     )
