--- a/rhubarblock/daemon/__init__.py
+++ b/rhubarblock/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""An entry instance: the parts put together."""
+"""Assembles instances from their parts and serves them over sockets."""
--- a/rhubarblock/daemon/callerserver.py
+++ b/rhubarblock/daemon/callerserver.py
@@ -1,7 +1,8 @@
-"""The callers' side of an instance: one HTTP server.
+"""The HTTP server for callers of an instance.
 
-It joins the completions API, the calls to services and the two health paths,
-and gives every refusal of the HTTP library itself the usual error form.
+Serves the completions API, calls to services and the two health checks.
+Requests that the HTTP library itself rejects are answered in the error format
+of the API, too.
 """
 
 import asyncio
@@ -32,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerApis:
-    """What callers can ask for."""
+    """The APIs that callers can use."""
 
     completions: completionsapi.CompletionsApi
     services: servicesapi.ServicesApi
@@ -42,7 +43,10 @@
 async def answer_errors(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Gives refusals of the library and unexpected errors our form."""
+    """Middleware that answers errors in the error format of the API.
+
+    Covers requests that the HTTP library rejects, and unexpected exceptions.
+    """
     try:
         return await handler(request)
     except web.HTTPException as error:
@@ -50,7 +54,7 @@
         response.set_status(error.status)
         return response
     except ConnectionError:
-        # The caller went away while it was being written to.
+        # The caller disconnected while the response was being written.
         raise
     except Exception:
         _logger.exception("unexpected error", extra={"path": request.path})
@@ -66,12 +70,12 @@
 def create_app(
     apis: CallerApis, lifecycle: lifecycles.InstanceLifecycle, body_bytes: int
 ) -> web.Application:
-    """Returns the application for callers.
+    """Returns the HTTP application for callers.
 
     Args:
-      apis: what callers can ask for.
-      lifecycle: state of this instance.
-      body_bytes: largest body.
+      apis: the APIs to serve.
+      lifecycle: lifecycle of this instance, for the readiness check.
+      body_bytes: largest request body in bytes.
     """
 
     async def answer_health(http: web.Request) -> web.Response:
@@ -95,13 +99,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServerBounds:
-    """What one listener holds at most.
+    """Limits of one listener.
 
     Attributes:
-      header_bytes: largest request line or header field.
-      answer_bytes: most bytes of one answer that wait for a slow reader.
-      shutdown_s: seconds that requests and the bytes of their answers get to
-        end once the server stops.
+      header_bytes: largest request line or header field in bytes.
+      answer_bytes: bytes buffered per connection for a slow reader
+        before writes of the handler wait.
+      shutdown_s: seconds for requests in flight to end and for their responses
+        to be flushed once the server stops.
     """
 
     header_bytes: int = 8_190
@@ -109,8 +114,8 @@
     shutdown_s: float = 2.0
 
 
-class CallerConnection(connections.OwingConnection):
-    """One connection; what is no HTTP request gets the usual error form too."""
+class CallerConnection(connections.TrackedConnection):
+    """A connection that answers invalid HTTP in the error format of the API."""
 
     __slots__ = ("_answer_bytes",)
 
@@ -124,10 +129,10 @@
         """Creates a connection.
 
         Args:
-          server: the server that it belongs to.
-          registry: knows it as long as it is open.
+          server: server that accepted the connection.
+          registry: tracks the connection while it is open.
           answer_bytes: see ``ServerBounds``.
-          **options: options of the library.
+          **options: options of ``web.RequestHandler``.
         """
         super().__init__(server, registry, **options)
         self._answer_bytes = answer_bytes
@@ -144,9 +149,9 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answers what the library could not read as a request.
+        """Answers data that the library cannot parse as a request.
 
-        It never reached a handler, so it did not run.
+        No handler has received it, so the verdict is that it did not run.
         """
         reason = "not a valid HTTP request"
         if isinstance(exc, http_exceptions.LineTooLong):
@@ -169,9 +174,9 @@
     """Serves an application while the context is open.
 
     Args:
-      app: what to serve.
-      listen: where; port 0 takes a free one.
-      bounds: what it holds at most.
+      app: application to serve.
+      listen: address to listen on; port 0 takes a free one.
+      bounds: limits of the listener.
 
     Yields:
       The bound ``host:port``.
@@ -181,7 +186,8 @@
     """
     runner = web.AppRunner(
         app,
-        # A handler ends with its caller, and its contexts free what it held.
+        # A handler is cancelled when its caller disconnects, and its context
+        # managers release its resources.
         handler_cancellation=True,
         shutdown_timeout=bounds.shutdown_s,
     )
--- a/rhubarblock/daemon/callerserver_test.py
+++ b/rhubarblock/daemon/callerserver_test.py
@@ -1,4 +1,7 @@
-"""Bad input and bad callers over real sockets: clear errors, nothing leaks."""
+"""Invalid input and misbehaving callers over real sockets.
+
+They must get clear errors, and must not leak resources.
+"""
 
 import asyncio
 import json
@@ -15,17 +18,25 @@
 from rhubarblock.settings import kinds
 
 _LIMITS = settings_lib.LimitsSettings(body_bytes=2_048, header_bytes=1_024)
-_GOOD = {"model": "reader", "prompt": "Read this claim.", "max_tokens": 4}
-_LONG = {"model": "reader", "prompt": "Read this.", "max_tokens": 4_000}
+_VALID_FIELDS = {
+    "model": "reader",
+    "prompt": "Read this claim.",
+    "max_tokens": 4,
+}
+_LONG_FIELDS = {"model": "reader", "prompt": "Read this.", "max_tokens": 4_000}
 _PATH = "/v1/services/desk"
 
 
 def make_body(**changes) -> bytes:
-    return json.dumps(_GOOD | changes).encode()
+    return json.dumps(_VALID_FIELDS | changes).encode()
 
 
-def run_one(data: bytes) -> loopback.RawAnswer:
-    """Sends bytes to a fleet, which must run nothing and keep nothing."""
+def send_to_idle_fleet(data: bytes) -> loopback.RawAnswer:
+    """Sends bytes to an idle fleet and returns the answer.
+
+    Asserts that the fleet runs nothing, keeps nothing, and still serves a valid
+    request afterwards.
+    """
 
     async def main() -> loopback.RawAnswer:
         async with loopback.run_fleet(limits=_LIMITS) as fleet:
@@ -33,8 +44,8 @@
             await fleet.assert_idle()
             assert fleet.engine.counters.accepted == 0
             assert fleet.desk.log.runs == []
-            good = loopback.make_request(make_body())
-            assert (await loopback.exchange(fleet.address, good)).status == 200
+            valid = loopback.make_request(make_body())
+            assert (await loopback.exchange(fleet.address, valid)).status == 200
         return answer
 
     return asyncio.run(main())
@@ -182,9 +193,9 @@
 
 
 @pytest.mark.parametrize("name", _CASES)
-def test_bad_input_is_refused_in_the_usual_form(name):
+def test_bad_input_is_rejected_in_the_error_format(name):
     status, code, data, message = _CASES[name]
-    answer = run_one(data)
+    answer = send_to_idle_fleet(data)
     assert answer.fields == {
         "error": {
             "message": message,
@@ -199,15 +210,17 @@
     assert answer.headers["x-verdict"] == "not_run"
 
 
-def test_body_of_absurd_size_is_refused_before_it_is_sent():
+def test_oversized_content_length_is_rejected_before_the_body_arrives():
     head = loopback.make_request(b"", Content_Length=str(10**15))
-    answer = run_one(head + b"x" * 4_096)
+    answer = send_to_idle_fleet(head + b"x" * 4_096)
     assert answer.status == 413
     assert answer.fields["error"]["verdict"] == "NOT_RUN"
 
 
-@pytest.mark.parametrize("body", [_LONG, _LONG | {"stream": True}])
-def test_memory_of_a_caller_that_goes_away_is_freed(body):
+@pytest.mark.parametrize(
+    "body", [_LONG_FIELDS, _LONG_FIELDS | {"stream": True}]
+)
+def test_kv_memory_is_freed_when_the_caller_disconnects(body):
     async def main() -> None:
         async with loopback.run_fleet() as fleet:
             _, writer = await loopback.connect(fleet.address)
@@ -216,14 +229,14 @@
             writer.transport.abort()
             await fleet.assert_idle()
             assert fleet.engine.counters.cancelled == 1
-            # The caller's fault is not laid to the engine.
+            # A caller's disconnect does not count as a failure of the engine.
             view = fleet.servers[0].instance.endpoints.states.list_views()[0]
             assert not view.probation
 
     asyncio.run(main())
 
 
-def test_caller_that_goes_away_leaves_its_keyed_call_running():
+def test_idempotent_call_continues_after_its_caller_disconnects():
     async def main() -> None:
         async with loopback.run_fleet() as fleet:
             fleet.desk.faults.slow_s = 0.1
@@ -240,7 +253,7 @@
     asyncio.run(main())
 
 
-def test_escapes_of_a_path_reach_the_service_as_they_were_sent():
+def test_percent_escapes_of_a_path_are_forwarded_unchanged():
     async def main() -> list[str]:
         async with loopback.run_fleet() as fleet:
             for path in ("/a%3Fb/c", "/a%20b?x=1%262&y="):
@@ -252,13 +265,17 @@
     assert asyncio.run(main()) == ["/a%3Fb/c", "/a%20b?x=1%262&y="]
 
 
-def test_stop_sends_what_a_slow_reader_has_not_read():
-    """The loop of the server ends with it, as that of a process does."""
+def test_stop_flushes_the_response_to_a_slow_reader():
+    """The server's event loop ends after the stop, as in a real process.
+
+    Data that is still buffered by then is lost, so the stop has to wait until a
+    slow reader has received it.
+    """
     addresses: queue.Queue[str] = queue.Queue()
     written: queue.Queue[int] = queue.Queue()
 
     async def answer(http: web.Request) -> web.StreamResponse:
-        """Writes until bytes wait, but too few of them to wait for."""
+        """Writes until data is buffered, but too little to block a write."""
         response = web.StreamResponse()
         await response.prepare(http)
         count = 0
@@ -283,14 +300,14 @@
     host, port = addresses.get().split(":")
     with socket.create_connection((host, int(port)), timeout=20.0) as sock:
         sock.sendall(loopback.make_request(b"", "/", "GET"))
-        # What is not sent by the end of the loop would be lost by now.
+        # Data that the stop did not wait for would be lost by now.
         thread.join(timeout=0.3)
         received = b"".join(iter(lambda: sock.recv(65_536), b""))
     thread.join()
     assert received.count(b"x") == written.get()
 
 
-def test_stop_reads_the_rest_of_a_request_that_it_had_begun_to_read():
+def test_stop_finishes_reading_a_partly_received_request():
     async def echo(request):
         return web.Response(body=await request.read())
 
@@ -311,8 +328,8 @@
         data = loopback.make_request(b"a body in two pieces", "/")
         reader, writer = await loopback.connect(await address)
         writer.write(data[:-5])
-        # Everything that was sent is read in the turns that the answer to a
-        # second request takes.
+        # By the time a second request is answered, the server has read the
+        # first part of this one.
         await loopback.exchange(await address, data)
         stopped.set()
         await asyncio.sleep(0)
--- a/rhubarblock/daemon/connections.py
+++ b/rhubarblock/daemon/connections.py
@@ -1,8 +1,9 @@
-"""Connections of callers that know what they owe.
+"""Tracks unanswered requests on callers' connections.
 
-A handler begins later than its request: bytes may have been read, or a whole
-request parsed, while no handler runs yet. What is owed is therefore counted
-here, from the first byte of a request to the last byte of its answer.
+A handler starts later than its request: bytes may have been read, or a whole
+request parsed, before any handler runs. A planned stop that counted handlers
+only would lose such requests, so connections count them from the first byte of
+the request to the last byte of its response.
 """
 
 import asyncio
@@ -16,11 +17,12 @@
 
 
 class ConnectionState(enum.Enum):
-    """What a connection owes.
+    """Progress of the oldest unanswered request of a connection.
 
-    IDLE: nothing; no byte of an unanswered request has been read.
+    IDLE: no byte of an unanswered request has been read.
     READING: a request has been read in part.
-    ANSWERING: a request has been read whole, and its answer hasn't ended.
+    ANSWERING: a request has been read completely, and its response has not
+      been sent to the end.
     """
 
     IDLE = "idle"
@@ -30,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ConnectionCounts:
-    """How many open connections are in each state."""
+    """Number of open connections in each state."""
 
     idle: int = 0
     reading: int = 0
@@ -40,37 +42,38 @@
 class Registry:
     """The open connections of one server.
 
-    A connection belongs to it until the last byte of its last answer is sent.
+    A connection stays registered until the last byte of its last response is
+    sent.
 
     Attributes:
-      is_leaving: whether connections are closed once they owe nothing.
+      is_draining: whether connections are closed once they are idle.
     """
 
-    __slots__ = ("_connections", "_empty", "is_leaving")
+    __slots__ = ("_connections", "_empty", "is_draining")
 
     def __init__(self) -> None:
-        self._connections: set[OwingConnection] = set()
+        self._connections: set[TrackedConnection] = set()
         self._empty = asyncio.Event()
         self._empty.set()
-        self.is_leaving = False
+        self.is_draining = False
 
-    def add(self, connection: "OwingConnection") -> None:
-        """Takes in a connection that was made."""
+    def add(self, connection: "TrackedConnection") -> None:
+        """Registers a new connection."""
         self._connections.add(connection)
         self._empty.clear()
 
-    def remove(self, connection: "OwingConnection") -> None:
-        """Forgets a connection that sent all that it held, or broke."""
+    def remove(self, connection: "TrackedConnection") -> None:
+        """Removes a connection that was closed or lost."""
         self._connections.discard(connection)
         if not self._connections:
             self._empty.set()
 
-    def list_connections(self) -> list["OwingConnection"]:
-        """Returns the connections that are open."""
+    def list_connections(self) -> list["TrackedConnection"]:
+        """Returns the open connections."""
         return list(self._connections)
 
     def count(self) -> ConnectionCounts:
-        """Returns how many connections are in each state."""
+        """Returns the number of connections in each state."""
         states = [connection.state for connection in self._connections]
         return ConnectionCounts(
             states.count(ConnectionState.IDLE),
@@ -78,86 +81,92 @@
             states.count(ConnectionState.ANSWERING),
         )
 
-    def leave(self) -> None:
-        """Closes each connection once it owes nothing.
+    def drain(self) -> None:
+        """Closes each connection once its requests are answered.
 
-        One that is idle is closed without being read again, so a request that
-        crosses the close goes unread.
+        An idle connection is closed without another read, so a request that is
+        sent at the same time stays unread.
         """
-        self.is_leaving = True
+        self.is_draining = True
         for connection in self.list_connections():
-            connection.leave()
+            connection.drain()
 
     async def wait_empty(self) -> None:
-        """Waits until no connection is open."""
+        """Waits until all connections are closed."""
         await self._empty.wait()
 
-    async def close(self, limit_s: float) -> None:
-        """Leaves all connections, and aborts those that are open too long.
+    async def close(self, timeout_s: float) -> None:
+        """Drains all connections, and aborts those that take too long.
 
         Args:
-          limit_s: seconds that requests and the bytes of their answers get.
+          timeout_s: seconds for requests to end and responses to be flushed.
         """
-        self.leave()
+        self.drain()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 await self.wait_empty()
         self.abort()
 
     def abort(self) -> None:
-        """Closes all connections and drops what they have not sent."""
+        """Closes all connections and discards unsent data."""
         for connection in self.list_connections():
             connection.abort()
 
 
-class OwingConnection(web.RequestHandler):
-    """A caller's connection that knows whether it owes an answer."""
+class TrackedConnection(web.RequestHandler):
+    """A caller's connection that tracks its unanswered requests."""
 
-    __slots__ = ("_bodies", "_has_part", "_own_transport", "_registry")
+    __slots__ = (
+        "_has_partial_head",
+        "_own_transport",
+        "_pending_bodies",
+        "_registry",
+    )
 
     def __init__(self, server: web.Server, registry: Registry, **options: Any):
         """Creates a connection.
 
         Args:
-          server: the server that it belongs to.
-          registry: knows it as long as it is open.
-          **options: options of the library.
+          server: server that accepted the connection.
+          registry: tracks the connection while it is open.
+          **options: options of ``web.RequestHandler``.
         """
         super().__init__(server, **options)
         self._registry = registry
-        # Bodies of the requests whose answers haven't ended, oldest first.
-        self._bodies: list[streams.StreamReader] = []
-        # Whether a part of the next head has been read.
-        self._has_part = False
-        # The library forgets its own once it was closed, flushed or not.
+        # Bodies of the unanswered requests, oldest first.
+        self._pending_bodies: list[streams.StreamReader] = []
+        # Whether a part of the next request's head has been read.
+        self._has_partial_head = False
+        # The library drops its own reference on close, before the data is
+        # flushed.
         self._own_transport: asyncio.Transport | None = None
 
     @property
     def state(self) -> ConnectionState:
-        """What the connection owes at present."""
-        if self._bodies:
-            if self._bodies[0].is_eof():
+        """Progress of the oldest unanswered request."""
+        if self._pending_bodies:
+            if self._pending_bodies[0].is_eof():
                 return ConnectionState.ANSWERING
             return ConnectionState.READING
-        if self._has_part:
+        if self._has_partial_head:
             return ConnectionState.READING
         transport = self._own_transport
         if transport is not None and transport.get_write_buffer_size():
             return ConnectionState.ANSWERING
         return ConnectionState.IDLE
 
-    def leave(self) -> None:
-        """Closes the connection once it owes nothing."""
-        if self._bodies or self._has_part:
-            self._plan_close()
+    def drain(self) -> None:
+        """Closes the connection once its requests are answered."""
+        if self._pending_bodies or self._has_partial_head:
+            self._close_after_response()
         elif self._waiter is not None or not self._request_count:
             self.force_close()
         else:
-            # The rest of a request that was answered early is being read.
-            self._plan_close()
+            # The library is still reading a request that was answered early.
+            self._close_after_response()
 
     def abort(self) -> None:
-        """Closes the connection and drops what it has not sent."""
+        """Closes the connection and discards unsent data."""
         if self._own_transport is not None:
             self._own_transport.abort()
 
@@ -166,8 +175,9 @@
         self._own_transport = transport
         self._registry.add(self)
         super().connection_made(transport)
-        # Accepted in the turn of the loop in which connections were left.
-        if self._registry.is_leaving:
+        # The drain began after the connection was accepted, within the same
+        # iteration of the event loop.
+        if self._registry.is_draining:
             self.force_close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -175,16 +185,18 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        under_way = self._bodies[: len(self._bodies) - len(self._messages)]
-        if self._registry.is_leaving:
-            # The library drops what comes once a connection is to close.
+        dispatched = self._pending_bodies[
+            : len(self._pending_bodies) - len(self._messages)
+        ]
+        if self._registry.is_draining:
+            # The library discards data while its close flag is set.
             self._close = False
         super().data_received(data)
-        self._bodies = under_way + self._list_waiting()
-        # Line ends between two requests belong to neither.
-        is_part = self._has_part or bool(data.strip(b"\r\n"))
-        self._has_part = is_part and not self._bodies
-        self._plan_close()
+        self._pending_bodies = dispatched + self._list_queued_bodies()
+        # Line ends between two requests are not part of a request.
+        is_partial = self._has_partial_head or bool(data.strip(b"\r\n"))
+        self._has_partial_head = is_partial and not self._pending_bodies
+        self._close_after_response()
 
     async def finish_response(
         self,
@@ -192,23 +204,23 @@
         resp: web.StreamResponse,
         start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
-        if self._registry.is_leaving and len(self._bodies) == 1:
+        if self._registry.is_draining and len(self._pending_bodies) == 1:
             resp.force_close()
-            if self._bodies[0].is_eof() and self.transport is not None:
-                # What comes until the close goes unread.
+            if self._pending_bodies[0].is_eof() and self.transport is not None:
+                # A request sent from now on stays unread.
                 self.transport.pause_reading()
         try:
             return await super().finish_response(request, resp, start_time)
         finally:
-            # The library may have parsed further requests meanwhile.
-            self._bodies = self._list_waiting()
-            self._plan_close()
+            # The library may have parsed more requests in the meantime.
+            self._pending_bodies = self._list_queued_bodies()
+            self._close_after_response()
 
-    def _list_waiting(self) -> list[streams.StreamReader]:
-        """Returns the bodies of requests that no handler has yet."""
+    def _list_queued_bodies(self) -> list[streams.StreamReader]:
+        """Returns the bodies of parsed requests without a handler."""
         return [body for _, body in self._messages]
 
-    def _plan_close(self) -> None:
-        """Lets the library close after this answer if no request waits."""
-        if self._registry.is_leaving:
+    def _close_after_response(self) -> None:
+        """When draining, sets the library's close flag if no request waits."""
+        if self._registry.is_draining:
             self._close = not self._messages
--- a/rhubarblock/daemon/connections_test.py
+++ b/rhubarblock/daemon/connections_test.py
@@ -1,4 +1,4 @@
-"""Connections that are left at awkward moments, on the virtual clock."""
+"""Drains of connections at critical moments, on the virtual clock."""
 
 import asyncio
 
@@ -22,17 +22,17 @@
     return HEAD % (name, len(body)) + body
 
 
-class Bench:
-    """One connection before a handler that takes a second.
+class ConnectionHarness:
+    """One connection to a handler that takes ``RUN_S`` seconds.
 
     Attributes:
-      handled: paths of the requests that got a handler.
+      handled: paths of the requests that reached the handler.
     """
 
     def __init__(self, handle=None):
         self.handled = []
         self.registry = connections.Registry()
-        self.connection = connections.OwingConnection(
+        self.connection = connections.TrackedConnection(
             web.Server(handle or self.answer, handler_cancellation=True),
             self.registry,
             loop=asyncio.get_running_loop(),
@@ -55,26 +55,26 @@
 
 
 def run(main):
-    """Runs a coroutine function of a bench that is one turn old."""
+    """Runs a test on a harness, after one iteration of the event loop."""
 
     async def begin():
-        bench = Bench()
+        harness = ConnectionHarness()
         await asyncio.sleep(0.0)
-        return await main(bench)
+        return await main(harness)
 
     return virtualloop.run(begin())
 
 
-def test_state_follows_a_request_to_the_end_of_its_answer():
-    async def main(bench):
-        states = [bench.connection.state]
+def test_state_tracks_a_request_until_its_response_is_sent():
+    async def main(harness):
+        states = [harness.connection.state]
         data = make_request(b"a")
         for piece in (data[:7], data[7:-2], data[-2:]):
-            bench.transport.receive(piece)
-            states.append(bench.connection.state)
+            harness.transport.receive(piece)
+            states.append(harness.connection.state)
         await asyncio.sleep(2 * RUN_S)
-        states.append(bench.connection.state)
-        return states, bench.registry.count()
+        states.append(harness.connection.state)
+        return states, harness.registry.count()
 
     states, counts = run(main)
     assert states == [
@@ -87,107 +87,111 @@
     assert counts == connections.ConnectionCounts(idle=1)
 
 
-def test_line_end_between_requests_is_no_request():
-    async def main(bench):
-        bench.transport.receive(b"\r\n")
-        state = bench.connection.state
-        bench.registry.leave()
-        await bench.wait_closed()
+def test_line_end_between_requests_leaves_the_connection_idle():
+    async def main(harness):
+        harness.transport.receive(b"\r\n")
+        state = harness.connection.state
+        harness.registry.drain()
+        await harness.wait_closed()
         return state
 
     assert run(main) is State.IDLE
 
 
-@pytest.mark.parametrize("leaves", [True, False])
-def test_request_behind_a_declined_upgrade_is_owed(leaves):
-    async def main(bench):
-        bench.transport.receive(UPGRADE + make_request(b"b"))
+@pytest.mark.parametrize("drains", [True, False])
+def test_request_pipelined_after_a_declined_upgrade_is_answered(drains):
+    async def main(harness):
+        harness.transport.receive(UPGRADE + make_request(b"b"))
         await asyncio.sleep(1.5 * RUN_S)
-        state = bench.connection.state
-        if leaves:
-            bench.registry.leave()
-            await bench.wait_closed()
+        state = harness.connection.state
+        if drains:
+            harness.registry.drain()
+            await harness.wait_closed()
         else:
             await asyncio.sleep(RUN_S)
-        return state, bench.handled, bench.count_answers()
+        return state, harness.handled, harness.count_answers()
 
     assert run(main) == (State.ANSWERING, ["/u", "/b"], 2)
 
 
-def test_request_that_was_sent_behind_the_last_one_is_answered():
-    async def main(bench):
-        bench.transport.receive(make_request(b"a") + make_request(b"b"))
+def test_pipelined_request_is_answered_when_draining():
+    async def main(harness):
+        harness.transport.receive(make_request(b"a") + make_request(b"b"))
         await asyncio.sleep(RUN_S / 2)
-        bench.registry.leave()
-        await bench.wait_closed()
-        return bench.handled, bench.count_answers()
+        harness.registry.drain()
+        await harness.wait_closed()
+        return harness.handled, harness.count_answers()
 
     assert run(main) == (["/a", "/b"], 2)
 
 
-def test_connection_left_while_its_answer_waits_for_a_slow_reader_closes():
-    async def main(bench):
-        bench.transport.receive(make_request(b"a"))
-        bench.connection.pause_writing()
+def test_draining_connection_closes_once_a_slow_reader_has_the_response():
+    async def main(harness):
+        harness.transport.receive(make_request(b"a"))
+        harness.connection.pause_writing()
         await asyncio.sleep(1.5 * RUN_S)
-        bench.registry.leave()
+        harness.registry.drain()
         await asyncio.sleep(RUN_S)
-        was_open = not bench.transport.is_closing()
-        bench.connection.resume_writing()
-        await bench.wait_closed()
-        return was_open, bench.count_answers()
+        was_open = not harness.transport.is_closing()
+        harness.connection.resume_writing()
+        await harness.wait_closed()
+        return was_open, harness.count_answers()
 
     assert run(main) == (True, 1)
 
 
-def test_request_sent_while_the_last_answer_is_flushed_goes_unread():
-    async def main(bench):
-        bench.transport.receive(make_request(b"a"))
-        bench.registry.leave()
-        bench.connection.pause_writing()
+def test_request_sent_while_the_last_response_is_flushed_stays_unread():
+    async def main(harness):
+        harness.transport.receive(make_request(b"a"))
+        harness.registry.drain()
+        harness.connection.pause_writing()
         await asyncio.sleep(1.5 * RUN_S)
-        bench.transport.receive(make_request(b"b"))
-        bench.connection.resume_writing()
-        await bench.wait_closed()
-        return bench.handled, bench.count_answers(), bench.transport.unread
+        harness.transport.receive(make_request(b"b"))
+        harness.connection.resume_writing()
+        await harness.wait_closed()
+        return (
+            harness.handled,
+            harness.count_answers(),
+            harness.transport.unread,
+        )
 
     handled, answers, unread = run(main)
     assert (handled, answers) == (["/a"], 1)
     assert unread == make_request(b"b")
 
 
-def test_rest_of_a_request_that_was_answered_early_is_read():
+def test_request_answered_early_is_read_to_its_end_before_the_close():
     async def refuse(request):
         return web.Response(status=413, text="too large")
 
     async def main():
-        bench = Bench(refuse)
+        harness = ConnectionHarness(refuse)
         await asyncio.sleep(0.0)
         data = make_request(b"a")
-        bench.transport.receive(data[:-2])
+        harness.transport.receive(data[:-2])
         await asyncio.sleep(RUN_S)
-        bench.registry.leave()
+        harness.registry.drain()
         await asyncio.sleep(RUN_S)
-        was_open = not bench.transport.is_closing()
-        bench.transport.receive(data[-2:])
-        await bench.wait_closed()
-        return was_open, bench.transport.sent.endswith(b"too large")
+        was_open = not harness.transport.is_closing()
+        harness.transport.receive(data[-2:])
+        await harness.wait_closed()
+        return was_open, harness.transport.sent.endswith(b"too large")
 
     assert virtualloop.run(main()) == (True, True)
 
 
-def test_connection_made_after_the_others_were_left_is_closed():
-    async def main(bench):
-        bench.registry.leave()
-        await bench.wait_closed()
-        late = connections.OwingConnection(
-            web.Server(bench.answer),
-            bench.registry,
+def test_connection_accepted_after_the_drain_began_is_closed():
+    async def main(harness):
+        harness.registry.drain()
+        await harness.wait_closed()
+        late = connections.TrackedConnection(
+            web.Server(harness.answer),
+            harness.registry,
             loop=asyncio.get_running_loop(),
             access_log=None,
         )
         transport = memorytransport_test.MemoryTransport(late)
-        await bench.wait_closed()
+        await harness.wait_closed()
         return transport.is_closing()
 
     assert run(main)
--- a/rhubarblock/daemon/holders.py
+++ b/rhubarblock/daemon/coordinators.py
@@ -1,7 +1,8 @@
-"""Who holds which duty, in the terms of each subsystem that asks.
+"""Finds the coordinator of each duty among the live instances.
 
-Every instance computes the same holders from the same live members. While
-views disagree two may hold one duty, which each subsystem bears.
+Every instance computes the same coordinators from the same live members, by
+rendezvous hashing. While membership views differ, a duty may have two
+coordinators; each subsystem tolerates that.
 """
 
 from rhubarblock.fleet import assignment
@@ -12,8 +13,8 @@
 from rhubarblock.routing.quarantine import gate as quarantines
 
 
-class HolderFinder:
-    """Finds holders among the live instances."""
+class CoordinatorFinder:
+    """Returns coordinators in the types that the subsystems use."""
 
     __slots__ = ("_members",)
 
@@ -21,7 +22,7 @@
         self._members = membership
 
     def choose(self, duty: str) -> members.Member:
-        """Returns the live instance that holds a duty; this one if alone."""
+        """Returns the coordinator of a duty; this instance if it is alone."""
         alive = self._members.live_instances()
         return assignment.choose_coordinator(duty, alive) or self._members.own
 
@@ -30,30 +31,30 @@
         return len(self._members.live_instances())
 
     def find_coordinator(self, service: str) -> coordination.Coordinator:
-        """Returns the instance that places for an engine service."""
+        """Returns the placement coordinator of an engine service."""
         chosen = self.choose(f"pool/{service}")
         return coordination.Coordinator(chosen.instance_id, chosen.address)
 
-    def coordinates(self, service: str) -> bool:
-        """Says whether this instance places for an engine service."""
+    def is_coordinator(self, service: str) -> bool:
+        """Returns whether this instance coordinates an engine service."""
         coordinator = self.find_coordinator(service)
         return coordinator.instance_id == self._members.own.instance_id
 
     def find_lender(self, duty: str) -> lending.Coordinator | None:
-        """Returns the instance that lends the shares of some limits."""
+        """Returns the coordinator that lends shares of limits."""
         chosen = self.choose(duty)
         return lending.Coordinator(chosen.instance_id, chosen.address)
 
-    def find_claim_writer(self, duty: str) -> str | None:
-        """Returns the address of who writes some claims; None for this one."""
+    def find_claim_coordinator(self, duty: str) -> str | None:
+        """Returns the address of a claims coordinator; None for itself."""
         chosen = self.choose(duty)
         own = self._members.own
         if chosen.instance_id == own.instance_id:
             return None
         return chosen.address
 
-    def find_issuer(self, duty: str) -> quarantines.Peer | None:
-        """Returns the instance that gives permits to suspects."""
+    def find_permit_issuer(self, duty: str) -> quarantines.Peer | None:
+        """Returns the instance that issues permits to suspect requests."""
         chosen = self.choose(duty)
         return quarantines.Peer(chosen.instance_id, chosen.address)
 
--- a/rhubarblock/daemon/edge.py
+++ b/rhubarblock/daemon/edge.py
@@ -1,7 +1,7 @@
-"""The daemon of an instance on the users' platform.
+"""The daemon of an exchange instance on the users' platform.
 
-It imports only what it serves with: a start is charged, and until it is over
-nobody is served.
+It imports only what it needs to serve: each start is charged for, and no
+caller is served until it is complete.
 """
 
 import asyncio
@@ -26,8 +26,8 @@
 from rhubarblock.settings import exchange as settings_lib
 from rhubarblock.store import store as stores
 
-# Seconds between two looks at settings that can't be used.
-LOOK_AGAIN_S = 1.0
+# Seconds between two reads of invalid settings.
+SETTINGS_POLL_S = 1.0
 
 _logger = logging.getLogger(__name__)
 
@@ -43,38 +43,41 @@
 
 
 def wait_for_settings(path: pathlib.Path) -> settings_lib.ExchangeSettings:
-    """Returns the settings once they can be used.
+    """Returns the settings once they are valid.
 
-    Until then nothing listens, so the instance isn't ready; ending would only
-    make the platform start it again and again.
+    Until then nothing listens, so the instance is not ready. If the process
+    exited instead, the platform would restart it again and again.
+
+    Args:
+      path: settings file.
     """
-    told: list[settings_lib.SettingError] = []
+    logged: list[settings_lib.SettingError] = []
     while True:
         loaded = settings_loader.load_settings(path)
         if isinstance(loaded, result.Success):
             return loaded.unwrap()
         errors = loaded.failure()
-        if errors != told:
-            told = errors
+        if errors != logged:
+            logged = errors
             for error in errors:
                 _logger.error("setting refused", extra={"error": str(error)})
-        time.sleep(LOOK_AGAIN_S)
+        time.sleep(SETTINGS_POLL_S)
 
 
 async def serve(settings: settings_lib.ExchangeSettings) -> None:
-    """Runs an instance until a signal asks it to stop.
+    """Runs an instance until SIGTERM or SIGINT, then drains.
 
     Args:
-      settings: checked settings.
+      settings: validated settings.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    # Nothing in the settings is changed while the process runs; the next
-    # start reads them anew.
+    # Settings are read at the start only, so SIGHUP is just logged.
     loop.add_signal_handler(
-        signal.SIGHUP, lambda: _logger.info("settings changed")
+        signal.SIGHUP,
+        lambda: _logger.info("SIGHUP ignored: settings are read at the start"),
     )
 
     def make_store(
--- a/rhubarblock/daemon/endpointlimit_test.py
+++ b/rhubarblock/daemon/endpointlimit_test.py
@@ -1,4 +1,4 @@
-"""Whole instances before endpoints that name a rate limit."""
+"""Complete instances with endpoints that announce a rate limit."""
 
 import asyncio
 import contextlib
@@ -7,26 +7,27 @@
 import aiohttp
 
 from rhubarblock.daemon import exchangeinstance
-from rhubarblock.daemon import exchangeinstance_test as wholes
+from rhubarblock.daemon import exchangeinstance_test as instancefixtures
 from rhubarblock.daemon import plannedstop
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.platform import names
 
-INSTANCES = 3
-# The limit that the endpoint in need names, in requests a second.
+INSTANCE_COUNT = 3
+# The limit that an endpoint announces, in requests a second.
 LIMIT_PER_S = 1.0
-# Requests that may come besides at any moment, and how much more than the limit
-# allows, before it counts as broken.
-SLACK = 5
-EXCESS = 1.5
+# Requests that may arrive in a burst, and the factor by which the rate may
+# exceed the limit, before the test fails.
+BURST_ALLOWANCE = 5
+LIMIT_TOLERANCE = 1.5
 
 
 class CountingEndpoint(fakes.ScriptedEndpoint):
-    """Answers each request at once, with a field of its own.
+    """Answers each request at once, with an additional header.
 
     Attributes:
-      field: line of the head of its answers.
-      arrived_s: moments at which requests came.
+      field: header line that its responses carry.
+      arrived_s: times at which requests arrived, in seconds of the loop's
+        clock.
     """
 
     def __init__(self, field=""):
@@ -48,8 +49,8 @@
             writer.close()
 
 
-class FleetStore(wholes.FakeStore):
-    """Lists several endpoints."""
+class FleetStore(instancefixtures.FakeStore):
+    """A store that lists several endpoints."""
 
     def __init__(self, *endpoints):
         super().__init__(endpoints[0])
@@ -62,8 +63,8 @@
 
 
 @contextlib.asynccontextmanager
-async def open_fleet(*endpoints, count=INSTANCES):
-    """Opens instances that share a store; gives a session and their URLs."""
+async def open_fleet(*endpoints, count=INSTANCE_COUNT):
+    """Runs instances that share a store; yields a session and their URLs."""
     async with contextlib.AsyncExitStack() as stack:
         for endpoint in endpoints:
             await stack.enter_async_context(endpoint.open())
@@ -73,17 +74,17 @@
         urls = []
         running = []
         for number in range(count):
-            settings = wholes.make_settings(f"i{number}")
+            settings = instancefixtures.make_settings(f"i{number}")
             instance = exchangeinstance.ExchangeInstance(
                 settings,
-                wholes.FakeDialect(),
+                instancefixtures.FakeDialect(),
                 lambda session, metrics, eras: store,
                 lambda session: fakes.NoLeases(),
                 names.ATTEMPT_ID,
                 random.Random(number),
             )
             running.append(asyncio.ensure_future(instance.run(stop)))
-            while await wholes.ask_ready(session, settings) != 200:
+            while await instancefixtures.ask_ready(session, settings) != 200:
                 assert not running[-1].done(), running
                 await asyncio.sleep(0.01)
             urls.append(f"http://{settings.callers}/a/x")
@@ -95,28 +96,30 @@
 
 
 async def ask(session, url):
-    async with session.post(url, headers=wholes.HEADERS) as answer:
+    async with session.post(url, headers=instancefixtures.HEADERS) as answer:
         await answer.read()
         return answer.status
 
 
-def test_endpoint_gets_no_more_than_its_limit_from_all_instances(monkeypatch):
-    monkeypatch.setattr(plannedstop, "LEAVE_S", 0.0)
+def test_instances_together_keep_within_the_rate_limit_of_an_endpoint(
+    monkeypatch,
+):
+    monkeypatch.setattr(plannedstop, "LAME_DUCK_S", 0.0)
 
     async def main():
-        needy = CountingEndpoint(f"{names.LIMIT}: {LIMIT_PER_S}\r\n")
-        async with open_fleet(needy, CountingEndpoint()) as (session, urls):
-            # Each instance passes on an answer that names the limit.
+        limited = CountingEndpoint(f"{names.LIMIT}: {LIMIT_PER_S}\r\n")
+        async with open_fleet(limited, CountingEndpoint()) as (session, urls):
+            # Each instance gets a response that announces the limit.
             for url in urls:
                 for _ in range(4):
                     await ask(session, url)
-            told_s = asyncio.get_running_loop().time()
+            limit_known_s = asyncio.get_running_loop().time()
             for _ in range(20):
                 statuses = [await ask(session, url) for url in urls]
-                assert statuses == [200] * INSTANCES
-            length_s = asyncio.get_running_loop().time() - told_s
-            later = [at_s for at_s in needy.arrived_s if at_s > told_s]
+                assert statuses == [200] * INSTANCE_COUNT
+            length_s = asyncio.get_running_loop().time() - limit_known_s
+            later = [at_s for at_s in limited.arrived_s if at_s > limit_known_s]
             return len(later), length_s
 
     arrived, length_s = asyncio.run(main())
-    assert arrived <= EXCESS * LIMIT_PER_S * length_s + SLACK
+    assert arrived <= LIMIT_TOLERANCE * LIMIT_PER_S * length_s + BURST_ALLOWANCE
--- a/rhubarblock/daemon/endpointstatements_test.py
+++ b/rhubarblock/daemon/endpointstatements_test.py
@@ -1,21 +1,21 @@
-"""Whole instances before endpoints that ask for rest or say that they leave."""
+"""Complete instances with endpoints that ask to back off or announce a stop."""
 
 import asyncio
 import contextlib
 
 import pytest
 
-from rhubarblock.daemon import endpointlimit_test as fleets
+from rhubarblock.daemon import endpointlimit_test as fleetfixtures
 from rhubarblock.daemon import plannedstop
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.platform import names
 
-# Requests that are sent after the endpoint said something.
-LATER = 20
+# Requests that are sent after the statement of the endpoint.
+FOLLOWING_REQUESTS = 20
 
 
-class TellingEndpoint(fleets.CountingEndpoint):
-    """Turns all away, or says in each answer that it leaves."""
+class StatementEndpoint(fleetfixtures.CountingEndpoint):
+    """Answers each request with a fixed status and statement header."""
 
     def __init__(self, status, field):
         super().__init__(field)
@@ -37,44 +37,44 @@
 
 @pytest.fixture(autouse=True)
 def stop_at_once(monkeypatch):
-    monkeypatch.setattr(plannedstop, "LEAVE_S", 0.0)
+    monkeypatch.setattr(plannedstop, "LAME_DUCK_S", 0.0)
 
 
 @contextlib.asynccontextmanager
-async def open_instance(telling):
-    """Opens one instance; gives what sends a request and checks its answer."""
-    async with fleets.open_fleet(
-        telling, fleets.CountingEndpoint(), count=1
+async def open_instance(endpoint):
+    """Runs one instance; yields a function that sends and checks a request."""
+    async with fleetfixtures.open_fleet(
+        endpoint, fleetfixtures.CountingEndpoint(), count=1
     ) as (session, (url,)):
 
         async def ask():
-            assert await fleets.ask(session, url) == 200
+            assert await fleetfixtures.ask(session, url) == 200
 
-        # The first request that reaches the endpoint hears its statement.
-        while not telling.arrived_s:
+        # The first request that reaches the endpoint returns its statement.
+        while not endpoint.arrived_s:
             await ask()
         yield ask
 
 
 @pytest.mark.parametrize("status", ["503 Full", "429 Too Many Requests"])
-def test_endpoint_that_asked_for_rest_gets_none_of_the_next_requests(status):
+def test_endpoint_that_asked_to_back_off_gets_no_further_requests(status):
     async def main():
-        resting = TellingEndpoint(
+        overloaded = StatementEndpoint(
             status, f"{names.NOT_EXECUTED}: 1\r\n{names.RETRY_AFTER}: 600\r\n"
         )
-        async with open_instance(resting) as ask:
-            for _ in range(LATER):
+        async with open_instance(overloaded) as ask:
+            for _ in range(FOLLOWING_REQUESTS):
                 await ask()
-            return len(resting.arrived_s)
+            return len(overloaded.arrived_s)
 
     assert asyncio.run(main()) == 1
 
 
-def test_endpoint_that_said_that_it_leaves_gets_none_of_the_next_requests():
+def test_endpoint_that_announced_its_stop_gets_no_further_requests():
     async def main():
-        leaving = TellingEndpoint("200 OK", f"{names.LEAVING}: 1\r\n")
+        leaving = StatementEndpoint("200 OK", f"{names.LEAVING}: 1\r\n")
         async with open_instance(leaving) as ask:
-            for _ in range(LATER):
+            for _ in range(FOLLOWING_REQUESTS):
                 await ask()
             return len(leaving.arrived_s)
 
--- a/rhubarblock/daemon/endpointwatch.py
+++ b/rhubarblock/daemon/endpointwatch.py
@@ -1,4 +1,4 @@
-"""Keeps an instance's view of the endpoints and of their load up to date."""
+"""Polls the endpoints of an entry instance for state, load and caches."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,22 +17,22 @@
 LIST_INTERVAL_S = 1.0
 LOAD_INTERVAL_S = 0.25
 CACHE_INTERVAL_S = 1.0
-# Memory of an engine in tokens until it reports its own.
+# KV memory in tokens assumed for an engine until its first load report.
 DEFAULT_KV_TOKENS = 400_000
-# An engine that gives no report within this time counts as failed.
+# An engine whose report takes longer than this counts as failed.
 REPORT_TIMEOUT_S = 2.0
 
 
 class EndpointWatch:
-    """Reads the platform's list and the engines' reports.
+    """Reads the platform's instance list and the engines' reports.
 
     Attributes:
-      states: state of each endpoint.
+      states: table of the state of each endpoint.
     """
 
     __slots__ = (
         "_client",
-        "_coordinates",
+        "_is_coordinator",
         "_source",
         "_table",
         "_timers",
@@ -51,23 +51,24 @@
         """Creates a watch.
 
         Args:
-          source: the platform's list.
-          client: way to the engines.
-          table: takes the load of the usable engines.
-          states: takes the states of all endpoints.
+          source: the platform's instance list.
+          client: client of the engines.
+          table: load table that placement uses; gets the usable engines.
+          states: table that gets the state of every endpoint.
           timers: timer service.
-          coordinates: says whether this instance places for a service.
+          coordinates: returns whether this instance is the placement
+            coordinator of a service.
         """
         self._source = source
         self._client = client
         self._table = table
         self._timers = timers
-        self._coordinates = coordinates
+        self._is_coordinator = coordinates
         self.states = states
-        states.subscribe(self._take_state)
+        states.subscribe(self._on_state_change)
 
     async def refresh_list(self) -> None:
-        """Reads the list; keeps the last one while the platform is down."""
+        """Reads the list; the last one stays while the platform is down."""
         try:
             listed = await self._source.fetch_instances()
         except stores.StoreError:
@@ -76,10 +77,10 @@
         self.update_table()
 
     async def refresh_loads(self) -> None:
-        """Asks every engine for its load report, and waits for the answers.
+        """Fetches the load reports of all engines that are not gone.
 
-        A tick of the timer service: an engine that answers late holds up the
-        tick and not the requests.
+        Runs as a callback of the timer service, so a slow engine delays the
+        next poll but no request.
         """
         views = self.states.list_views()
         await asyncio.gather(
@@ -93,22 +94,27 @@
         self.update_table()
 
     async def refresh_caches(self) -> None:
-        """Reads the cache events of the engines that are placed from here."""
+        """Fetches the cache events of the engines coordinated here."""
         usable = [load.endpoint for load in self._table.list_usable()]
         services = {endpoint.service for endpoint in usable}
-        placed = {name for name in services if self._coordinates(name)}
+        coordinated = {name for name in services if self._is_coordinator(name)}
         await asyncio.gather(
             *(
                 self._refresh_cache(endpoint)
                 for endpoint in usable
-                if endpoint.service in placed
+                if endpoint.service in coordinated
             )
         )
 
     def report(
         self, endpoint_id: str, failure: failures.Failure | None
     ) -> None:
-        """Takes in the end of an attempt at an endpoint."""
+        """Records the outcome of an attempt at an endpoint.
+
+        Args:
+          endpoint_id: the endpoint.
+          failure: why the attempt failed; None for a success.
+        """
         if failure is None:
             self.states.record_success(endpoint_id)
             return
@@ -116,7 +122,7 @@
         self.update_table()
 
     def update_table(self) -> None:
-        """Offers the usable engines to the placement."""
+        """Passes the usable engines on to the load table."""
         services = {
             view.endpoint.service
             for view in self.states.list_views()
@@ -133,7 +139,15 @@
     def choose_service_address(
         self, call: requests.ServiceCall, failed: frozenset[str]
     ) -> str | None:
-        """Returns an endpoint for a call to a plain service."""
+        """Returns the address of an endpoint for a call to a plain service.
+
+        Args:
+          call: the call; its request id selects the endpoint.
+          failed: addresses at which the call failed already.
+
+        Returns:
+          The address, or None when no usable endpoint is left.
+        """
         usable = [
             view.endpoint.address
             for view in self.states.usable(call.service)
@@ -169,11 +183,12 @@
                     endpoint.address, prefixes.read_sequence(name)
                 )
         except (TimeoutError, failures.FailureError):
-            # The load report tells of a broken engine; this is but a hint.
+            # The load report detects a failed engine; cache events are only a
+            # hint for placement.
             return
         prefixes.take_events(name, events)
 
-    def _take_state(
+    def _on_state_change(
         self,
         endpoint_id: str,
         before: endpoints.EndpointState,
--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -1,7 +1,7 @@
-"""An instance that passes opaque exchanges on, put together.
+"""An instance that relays opaque exchanges, assembled from its parts.
 
-It has no disk and is told nothing of its peers: configuration, endpoints and
-the other instances all come from the store.
+It has no disk and its settings name no peers: the configuration, the endpoints
+and the other instances are all read from the store.
 """
 
 import asyncio
@@ -48,16 +48,16 @@
 from rhubarblock.store import era as era_lib
 from rhubarblock.store import store as stores
 
-# Seconds after which a wait for the configuration begins anew.
-LOOK_S = 10.0
-# Seconds for which an idle connection of a caller is kept.
+# Timeout of one wait for a valid configuration; the wait is then repeated.
+CONFIGURATION_WAIT_S = 10.0
+# Seconds for which an idle connection is kept open.
 KEEPALIVE_S = 20.0
-# Seconds between two times at which endpoints that left are forgotten.
-TIDY_S = 30.0
-# Seconds for which a start waits for the list of its peers, and without it for
-# greetings of them.
-FIND_S = 0.5
-GREETING_S = 0.05
+# Seconds between two removals of the state of unlisted endpoints.
+CLEANUP_INTERVAL_S = 30.0
+# Seconds that a start waits for the list of its peers and, if there is none by
+# then, for heartbeats from them.
+PEER_DISCOVERY_TIMEOUT_S = 0.5
+HEARTBEAT_WAIT_S = 0.05
 
 _logger = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
 
 
 class ExchangeInstance:
-    """One instance; ``run`` serves until it is told to stop."""
+    """One instance; ``run`` serves until its stop event is set."""
 
     def __init__(
         self,
@@ -80,15 +80,16 @@
         attempt_header: str,
         rng: random.Random,
     ):
-        """Creates the parts that need no running loop.
+        """Creates the parts that need no running event loop.
 
         Args:
-          settings: checked settings.
-          dialect: spelling of the deployment.
-          make_store: makes the client of the store on a session.
-          make_leases: makes the client of engines' memory on a session.
-          attempt_header: name of the field that answers echo.
-          rng: source of jitter and choices.
+          settings: validated settings.
+          dialect: header names and formats of the deployment's protocol.
+          make_store: creates the store client on an HTTP session.
+          make_leases: creates the client for leases of engines' KV memory on
+            an HTTP session.
+          attempt_header: name of the header that endpoints echo in responses.
+          rng: source of jitter and of random choices.
         """
         self.settings = settings
         self.lifecycle = lifecycles.InstanceLifecycle()
@@ -110,9 +111,9 @@
             self.timers,
             settings.capacity,
         )
-        self.book = jobtracker.JobTracker()
+        self.job_tracker = jobtracker.JobTracker()
         self.health = healths.Health(settings.data_centre)
-        self.rests = cooldowns.Cooldowns(self.metrics)
+        self.cooldowns = cooldowns.Cooldowns(self.metrics)
         self.eras = era_lib.EraTracker(self.metrics)
         self._dialect = dialect
         self._make_store = make_store
@@ -123,8 +124,11 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until the event is set, then drains.
 
+        Args:
+          stop: set to request a planned stop.
+
         Raises:
-          OSError: an address can't be listened on.
+          OSError: an address cannot be listened on.
         """
         _logger.info("starting")
         async with contextlib.AsyncExitStack() as stack:
@@ -141,7 +145,7 @@
             ).run()
 
     async def _start(self, stack: contextlib.AsyncExitStack) -> None:
-        """Opens all parts; the stack closes them in the opposite order."""
+        """Opens all parts; the stack closes them in reverse order."""
         settings = self.settings
         stack.enter_context(
             countlog.log_counts(
@@ -155,7 +159,7 @@
             settings.instance_id,
             start_id,
             settings.data_centre,
-            self.book,
+            self.job_tracker,
             self.health,
             self.subsets,
             self.peers,
@@ -164,7 +168,7 @@
             settings.capacity,
         )
         limits = self._make_limits(updates)
-        self.directory.on_restart = lambda endpoint_id: self._forget_start(
+        self.directory.on_restart = lambda endpoint_id: self._reset_endpoint(
             endpoint_id, limits
         )
         await stack.enter_async_context(
@@ -176,19 +180,19 @@
         following = asyncio.create_task(self._follow(store, updates, follower))
         stack.callback(following.cancel)
 
-    def _forget_start(
+    def _reset_endpoint(
         self, endpoint_id: str, limits: endpointlimits.EndpointLimits
     ) -> None:
-        """Holds nothing against an endpoint that started again."""
-        self.book.remove_engine(endpoint_id)
+        """Discards what earlier runs of a restarted endpoint left behind."""
+        self.job_tracker.remove_engine(endpoint_id)
         self.health.forget(endpoint_id)
         limits.forget(endpoint_id)
-        self.rests.forget(endpoint_id)
+        self.cooldowns.forget(endpoint_id)
 
     def _make_limits(
         self, updates: peer_updates.PeerUpdates
     ) -> endpointlimits.EndpointLimits:
-        """Returns what keeps to the rate limits of endpoints."""
+        """Returns the part that enforces the rate limits of endpoints."""
         settings = self.settings
         limits = endpointlimits.EndpointLimits(
             limitupdates.DatagramLimitPeers(
@@ -213,11 +217,11 @@
         updates: peer_updates.PeerUpdates,
         limits: endpointlimits.EndpointLimits,
     ) -> relays.ExchangeRelay:
-        """Puts together what serves an exchange."""
+        """Assembles the parts that serve an exchange."""
         bounds = self.settings.bounds
         placer = placers.Placer(
             self.directory,
-            self.book,
+            self.job_tracker,
             self.health,
             updates,
             candidates.Candidates(
@@ -225,22 +229,22 @@
                 self.health,
                 self.subsets,
                 limits,
-                self.rests,
+                self.cooldowns,
                 self.settings.instance_id,
                 self.settings.data_centre,
                 self.timers,
                 self._rng,
             ),
             limits,
-            self.rests,
+            self.cooldowns,
             self.settings.data_centre,
             self.timers,
         )
         stack.enter_context(
-            self.timers.subscribe(TIDY_S, placer.remove_unlisted)
+            self.timers.subscribe(CLEANUP_INTERVAL_S, placer.remove_unlisted)
         )
         statement_handler = statements.StatementHandler(
-            self.directory, limits, self.rests, self.timers, self.metrics
+            self.directory, limits, self.cooldowns, self.timers, self.metrics
         )
         lease_holder = await stack.enter_async_context(
             leases.open_holder(
@@ -280,7 +284,7 @@
         relay: relays.ExchangeRelay,
         updates: peer_updates.PeerUpdates,
     ) -> None:
-        """Listens for callers, the balancer, peers and scrapers."""
+        """Opens the listeners for callers, readiness, peers and metrics."""
         settings = self.settings
         request_handler = requesthandler.RequestHandler(
             self.config_lease,
@@ -327,7 +331,7 @@
         session: aiohttp.ClientSession,
         store: stores.ObjectStore,
     ) -> followers.StoreFollower:
-        """Returns what keeps the state up to date."""
+        """Returns the part that keeps the replicated state up to date."""
         client = statefeed.StateClient(
             session,
             self.settings.instance_id,
@@ -357,8 +361,11 @@
         updates: peer_updates.PeerUpdates,
         follower: followers.StoreFollower,
     ) -> None:
-        """Finds peers, for a moment at most, then follows the state."""
-        search = peersearch.PeerSearch(
+        """Waits briefly for peer discovery, then follows the state.
+
+        Discovery goes on in the background if it takes longer.
+        """
+        discovery = peersearch.PeerSearch(
             self.settings,
             store,
             self.peers,
@@ -367,24 +374,27 @@
             self.eras,
             self.metrics,
         )
-        finding = asyncio.create_task(search.run())
-        keeping = asyncio.create_task(search.keep_listed())
+        discovering = asyncio.create_task(discovery.run())
+        keeping_listed = asyncio.create_task(discovery.keep_listed())
         try:
-            found, _ = await asyncio.wait({finding}, timeout=FIND_S)
-            _logger.info("peers listed", extra={"listed": bool(found)})
-            if not found:
-                # Who greets this one may read the store for it.
-                await self.timers.sleep(GREETING_S)
+            done, _ = await asyncio.wait(
+                {discovering}, timeout=PEER_DISCOVERY_TIMEOUT_S
+            )
+            _logger.info("peers listed", extra={"listed": bool(done)})
+            if not done:
+                # A peer that sends a heartbeat now may pass the store's state
+                # on, so that this instance need not read the store.
+                await self.timers.sleep(HEARTBEAT_WAIT_S)
             async with follower.run():
                 await asyncio.Event().wait()
         finally:
-            finding.cancel()
-            keeping.cancel()
+            discovering.cancel()
+            keeping_listed.cancel()
 
     async def _become_ready(self, stop: asyncio.Event) -> None:
-        """Waits until there is something to serve with, or for the stop."""
+        """Marks the instance ready once it has state, unless it is stopped."""
         stopping = asyncio.create_task(stop.wait())
-        waiting = asyncio.create_task(self._wait_state())
+        waiting = asyncio.create_task(self._wait_for_state())
         try:
             await asyncio.wait(
                 {stopping, waiting}, return_when=asyncio.FIRST_COMPLETED
@@ -395,10 +405,10 @@
             stopping.cancel()
             waiting.cancel()
 
-    async def _wait_state(self) -> None:
-        """Waits for endpoints and a configuration that may be used."""
+    async def _wait_for_state(self) -> None:
+        """Waits for the endpoint list and a valid configuration lease."""
         await self.state.listed.wait()
-        while await self.config_lease.wait_valid(LOOK_S) is None:
+        while await self.config_lease.wait_valid(CONFIGURATION_WAIT_S) is None:
             pass
 
     def _log_lifecycle(self, step: Callable[[], None]) -> None:
--- a/rhubarblock/daemon/exchangeinstance_test.py
+++ b/rhubarblock/daemon/exchangeinstance_test.py
@@ -1,4 +1,4 @@
-"""A whole instance over real sockets, with a store in memory."""
+"""A complete instance over real sockets, with a store in memory."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class FakeDialect(dialects.PlatformDialect):
-    """Decodes what the store of these tests holds."""
+    """Decodes the store content of these tests into a fixed routing table."""
 
     def split_configuration(self, value):
         del value
@@ -45,11 +45,12 @@
 
 
 class FakeStore(stores.ObjectStore):
-    """Holds objects in memory, and may come back from an older copy.
+    """Holds objects in memory, and can be restored from an older copy.
 
     Attributes:
       objects: decoded values by name.
-      eras: hears the era with each call, as the client's answers tell it.
+      eras: trackers that get the era with each call, as from the responses of
+        the real store.
     """
 
     def __init__(self, endpoint):
@@ -65,32 +66,32 @@
         self.eras = []
         self.era = 0
 
-    def come_back(self, objects):
-        """Begins an era with older objects."""
+    def restore_older_copy(self, objects):
+        """Starts a new era with older objects."""
         self.objects = dict(objects)
         self.era += 1
 
-    def at(self):
+    def report_era(self):
         for eras in self.eras:
             eras.take(self.era or None)
         return positions.Position(self.era, 1)
 
     async def read(self, name):
-        self.at()
+        self.report_era()
         if name not in self.objects:
             raise stores.StoreError(stores.StoreErrorKind.NOT_FOUND)
         value = json.dumps(self.objects[name]).encode()
-        return stores.StoredObject(name, self.at(), value)
+        return stores.StoredObject(name, self.report_era(), value)
 
     async def list_objects(self, prefix):
         found = [n for n in self.objects if n.startswith(prefix)]
         return stores.Page(
-            tuple([await self.read(n) for n in found]), self.at()
+            tuple([await self.read(n) for n in found]), self.report_era()
         )
 
     async def write(self, name, value, expected_version):
         self.objects[name] = json.loads(value)
-        return stores.StoredObject(name, self.at(), value)
+        return stores.StoredObject(name, self.report_era(), value)
 
     async def delete(self, name, expected_version):
         del self.objects[name]
@@ -151,8 +152,10 @@
         return None
 
 
-def test_planned_stop_ends_what_runs_and_closes_what_idles(monkeypatch):
-    monkeypatch.setattr(plannedstop, "LEAVE_S", 0.2)
+def test_planned_stop_finishes_requests_and_closes_idle_connections(
+    monkeypatch,
+):
+    monkeypatch.setattr(plannedstop, "LAME_DUCK_S", 0.2)
     release = asyncio.Event()
 
     async def wait(head, writer):
@@ -179,7 +182,7 @@
             stop.set()
             while await ask_ready(session, settings) == 200:
                 await asyncio.sleep(0.01)
-            # A connection without a request is closed, not left unread.
+            # An idle connection is closed without a response.
             closed = await idle[0].read()
             idle[1].close()
             release.set()
@@ -191,7 +194,7 @@
     assert asyncio.run(main()) == (b"first", b"", b"late")
 
 
-def test_instance_enters_the_list_of_instances():
+def test_instance_registers_in_the_instance_list():
     async def main():
         endpoint = fakes.ScriptedEndpoint()
         store = None
@@ -220,7 +223,7 @@
     assert address == str(settings.peers)
 
 
-def test_line_that_the_store_lost_is_written_again():
+def test_record_that_the_store_lost_is_written_again():
     async def main():
         endpoint = fakes.ScriptedEndpoint()
         async with endpoint.open():
@@ -244,10 +247,10 @@
             while "instances/i1" not in store.objects:
                 assert not running.done(), running
                 await asyncio.sleep(0.01)
-            line = store.objects["instances/i1"]
-            store.come_back(before)
+            record = store.objects["instances/i1"]
+            store.restore_older_copy(before)
             async with asyncio.timeout(10.0):
-                while store.objects.get("instances/i1") != line:
+                while store.objects.get("instances/i1") != record:
                     await asyncio.sleep(0.01)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
--- a/rhubarblock/daemon/fleetstatus.py
+++ b/rhubarblock/daemon/fleetstatus.py
@@ -1,4 +1,4 @@
-"""What the administration API of an instance tells and can drain."""
+"""Status and drains of the fleet for the administration API."""
 
 from typing import TYPE_CHECKING
 
@@ -83,7 +83,7 @@
         )
 
     def _list_limits(self) -> tuple[statuses.LimitStatus, ...]:
-        """Returns the limits of long prompts, whose use is counted here."""
+        """Returns the limits of long prompts, which are counted locally."""
         limiter = self._instance.limiter
         return tuple(
             statuses.LimitStatus(
@@ -128,7 +128,7 @@
 
 
 class InstanceDrainControl(draining.DrainControl):
-    """Drains endpoints everywhere, and the answering instance itself."""
+    """Drains endpoints on all instances, or the answering instance itself."""
 
     __slots__ = ("_instance",)
 
@@ -144,7 +144,7 @@
             return await self._drain_endpoints(
                 target, self._list_endpoints(target.name)
             )
-        return self._drain_itself(target)
+        return self._drain_self(target)
 
     async def _drain_endpoints(
         self, target: draining.DrainTarget, names: list[str]
@@ -172,9 +172,7 @@
             if view.endpoint.data_centre == data_centre
         ]
 
-    def _drain_itself(
-        self, target: draining.DrainTarget
-    ) -> statuses.DrainStatus:
+    def _drain_self(self, target: draining.DrainTarget) -> statuses.DrainStatus:
         own = self._instance.identity.instance_id
         if target.name != own:
             raise _refuse(f"ask instance {target.name} itself; this is {own}")
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -1,8 +1,8 @@
 """An entry instance as a whole, without its sockets.
 
-It puts every part together in the order in which they depend on each other.
-The daemon and the demo give it clients and peers over sockets, experiments
-and tests give it stand-ins on the fake clock: the same code runs in both.
+Builds all parts in the order of their dependencies. The daemon and the demo
+pass in clients and peers that use sockets; experiments and tests pass in fakes
+on the virtual clock. The same code runs in both cases.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 from rhubarblock.core import attemptid
 from rhubarblock.core import catalogue as catalogues
 from rhubarblock.core import request as requests
+from rhubarblock.daemon import coordinators
 from rhubarblock.daemon import endpointwatch
-from rhubarblock.daemon import holders
 from rhubarblock.daemon import listing
 from rhubarblock.daemon import outside as outsides
 from rhubarblock.daemon import promptparts
@@ -47,7 +47,7 @@
 from rhubarblock.routing.quarantine import gate as quarantines
 from rhubarblock.settings import entry as settings_lib
 
-# Seconds that the news of a planned stop may take.
+# Seconds for announcing a planned stop to the peers.
 LEAVE_TIMEOUT_S = 1.0
 
 _logger = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PeerPort:
-    """Calls to peers, and where they reach this instance."""
+    """Transport for calls to peers, and the address for calls from them."""
 
     transport: peertransport.PeerTransport
     address: str
@@ -65,24 +65,26 @@
     """An entry instance.
 
     Attributes:
-      identity: who it is.
+      identity: its id, incarnation and data centre.
       settings: its settings.
-      outside: its clients of platform and endpoints.
-      lifecycle: its state.
+      outside: clients of the platform and the endpoints.
+      lifecycle: its lifecycle state and count of requests in flight.
       metrics: its counters.
-      membership: its view of the others.
-      holders: who holds which duty.
-      listed: the platform's list, read once for a data centre.
+      membership: its view of the other instances.
+      coordinators: finds the coordinator of each duty.
+      listed: the platform's instance list, which a few instances read for
+        their whole data centre.
       catalogue: the catalogue in force.
+      lender: lends shares of the limits between instances.
       limiter: limits of institutions and workspaces.
-      quarantine: digests that crash endpoints.
-      guard: limits and quarantine around each request.
-      endpoints: its view of the endpoints.
-      news: drains of endpoints.
-      orders: what engines are to run.
-      orphans: frees what instances left behind at engines.
-      parts: what serves prompts.
-      caller: what makes calls to services; there while it runs.
+      quarantine: quarantined digests of requests that crash endpoints.
+      guard: applies limits and quarantine to each request.
+      endpoints: polls the endpoints and tracks their state.
+      news: announcements and drain orders of endpoints.
+      orders: desired state of the engines.
+      orphans: cancels attempts at engines whose instance is gone.
+      parts: serves prompts.
+      caller: calls plain services; set only while the instance runs.
     """
 
     def __init__(
@@ -93,14 +95,14 @@
         rng: random.Random,
         incarnation: int,
     ):
-        """Creates all parts; ``run`` sets them going.
+        """Creates all parts; ``run`` starts them.
 
         Args:
-          settings: checked settings.
-          outside: clients of platform and endpoints.
-          port: calls to peers.
+          settings: validated settings.
+          outside: clients of the platform and the endpoints.
+          port: transport for calls to peers.
           rng: source of ids and jitter.
-          incarnation: rises with each start of this instance.
+          incarnation: increases with each start of this instance.
         """
         self.settings = settings
         self.outside = outside
@@ -119,17 +121,17 @@
         self._build_endpoints(port)
 
     def make_id(self) -> str:
-        """Returns the id of a new request."""
+        """Returns the id for a new request."""
         return attemptid.format_request_id(
             self.identity.owner, next(self._numbers)
         )
 
     def find_service(self, model: str) -> str:
-        """Returns the engine service of a model."""
+        """Returns the engine service that serves a model."""
         return self.catalogue.get().models[model].service
 
     def weigh(self, request: requests.PromptRequest) -> float:
-        """Returns the weight of a request's flow."""
+        """Returns the fair-queueing weight of a request."""
         catalogue = self.catalogue.get()
         institution = catalogue.institutions.get(request.institution)
         workspace = catalogue.workspaces.get(request.workspace)
@@ -141,8 +143,9 @@
     async def run(self) -> AsyncIterator["Instance"]:
         """Serves while the context is open, then drains.
 
-        What it sets going it stops in the opposite order: new work is refused
-        first, requests end, the peers are told.
+        Parts stop in the reverse order of their start: new requests are
+        rejected first, then requests in flight end, then the peers are
+        notified.
         """
         timers = self.outside.timers
         async with contextlib.AsyncExitStack() as stack:
@@ -150,7 +153,7 @@
             await stack.enter_async_context(self.catalogue.run())
             await stack.enter_async_context(self.lender.run())
             await stack.enter_async_context(self.quarantine.run())
-            await self._watch_endpoints(stack)
+            await self._poll_endpoints(stack)
             await stack.enter_async_context(self.news.run())
             await stack.enter_async_context(self.orders.run())
             await stack.enter_async_context(
@@ -164,7 +167,7 @@
                     timers,
                 )
             )
-            stack.enter_context(self.parts.run_ticks())
+            stack.enter_context(self.parts.run_periodic_tasks())
             stack.enter_context(
                 timers.subscribe(orphans.CHECK_INTERVAL_S, self.orphans.collect)
             )
@@ -195,8 +198,9 @@
             ),
             seeds=[str(seed) for seed in self.settings.peers.seeds],
         )
-        self.holders = holders.HolderFinder(self.membership)
-        # Two instances of a data centre read the list for all of it.
+        self.coordinators = coordinators.CoordinatorFinder(self.membership)
+        # Two instances of each data centre read the list and pass it on to the
+        # others there, which bounds the load on the platform.
         self.listed = listrelay.ListRelay(
             outside.source,
             self.membership,
@@ -218,7 +222,7 @@
             port.transport,
             self.identity.instance_id,
             self.identity.incarnation,
-            self.holders.find_lender,
+            self.coordinators.find_lender,
             lendingholders.ShareHolders(
                 self.outside.timers, self.membership.known_instances
             ).list_ids,
@@ -235,19 +239,19 @@
             self.outside.store,
             self.identity.instance_id,
             port.transport,
-            self.holders.list_peers,
-            self.holders.find_issuer,
+            self.coordinators.list_peers,
+            self.coordinators.find_permit_issuer,
             self._rng,
         )
-        around = promptparts.Surroundings(
+        dependencies = promptparts.Surroundings(
             timers=self.outside.timers,
             rng=self._rng,
             client=self.outside.engines,
             peers=port.transport,
             policy=self._choose_policy(),
             find_service=self.find_service,
-            find_coordinator=self.holders.find_coordinator,
-            count_instances=self.holders.count_instances,
+            find_coordinator=self.coordinators.find_coordinator,
+            count_instances=self.coordinators.count_instances,
             weigh=self.weigh,
             list_reserved=self.quarantine.list_reserved,
         )
@@ -256,13 +260,13 @@
             self.limiter,
             self.quarantine,
             crashes.EngineCrashDetector(
-                self.outside.engines, self.quarantine, self._find_start
+                self.outside.engines, self.quarantine, self._find_start_id
             ),
             lambda name, failure: self.endpoints.report(name, failure),
         )
         self.parts = promptparts.PromptParts(
             self.identity,
-            around,
+            dependencies,
             self.lifecycle,
             self.metrics,
             self.guard,
@@ -278,7 +282,7 @@
             self.parts.table,
             states,
             outside.timers,
-            self.holders.coordinates,
+            self.coordinators.is_coordinator,
         )
         self.news = endpointnotices.EndpointNotices(
             states,
@@ -314,13 +318,13 @@
         policy: policies.Policy = policy_class(routing.weight_ttft)
         return policy
 
-    def _find_start(self, endpoint_id: str) -> str:
-        """Returns the start id that an engine last reported, or none."""
+    def _find_start_id(self, endpoint_id: str) -> str:
+        """Returns the start id that an engine last reported, or ""."""
         report = self.endpoints.states.find_report(endpoint_id)
         return report.start_id if report else ""
 
-    async def _watch_endpoints(self, stack: contextlib.AsyncExitStack) -> None:
-        """Reads endpoints and loads once, then regularly."""
+    async def _poll_endpoints(self, stack: contextlib.AsyncExitStack) -> None:
+        """Polls endpoints, loads and caches once, then periodically."""
         for interval_s, tick in (
             (endpointwatch.LIST_INTERVAL_S, self.endpoints.refresh_list),
             (endpointwatch.LOAD_INTERVAL_S, self.endpoints.refresh_loads),
@@ -338,7 +342,7 @@
                 self.identity.instance_id,
                 self._rng,
                 peers=self._transport,
-                find_coordinator=self.holders.find_claim_writer,
+                find_coordinator=self.coordinators.find_claim_coordinator,
             )
         )
         self.caller = await stack.enter_async_context(
@@ -355,22 +359,22 @@
         )
 
     def _mark_ready_with_catalogue(self) -> None:
-        """Takes callers once there is a catalogue that says who they are."""
+        """Becomes ready once there is a catalogue to authenticate callers."""
         if self.catalogue.revision:
             self._log_lifecycle(self.lifecycle.mark_ready)
         else:
-            self.catalogue.subscribe(self._take_first_catalogue)
+            self.catalogue.subscribe(self._on_first_catalogue)
 
-    def _take_first_catalogue(self, catalogue: catalogues.Catalogue) -> None:
+    def _on_first_catalogue(self, catalogue: catalogues.Catalogue) -> None:
         del catalogue
         if self.lifecycle.state is lifecycles.LifecycleState.STARTING:
             self._log_lifecycle(self.lifecycle.mark_ready)
 
     async def _stop(self) -> None:
-        """Refuses new work, lets requests end, tells the peers."""
+        """Rejects new requests, drains the others, notifies the peers."""
         self._log_lifecycle(self.lifecycle.start_drain)
-        whole = await self.lifecycle.drain(self.settings.drain.deadline_s)
-        if not whole:
+        is_drained = await self.lifecycle.drain(self.settings.drain.deadline_s)
+        if not is_drained:
             self.metrics.count("instance.cut", self.lifecycle.in_flight)
         await self.parts.cleanup.wait()
         with contextlib.suppress(TimeoutError):
--- a/rhubarblock/daemon/listener.py
+++ b/rhubarblock/daemon/listener.py
@@ -1,4 +1,4 @@
-"""A listening HTTP server that can be left without losing a request."""
+"""An HTTP server that drains its connections without losing a request."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,19 +11,19 @@
 from rhubarblock.daemon import connections
 from rhubarblock.settings import exchange as settings_lib
 
-# Connections that may wait to be accepted.
+# Length of the queue of connections to accept.
 BACKLOG = 1024
-# Seconds that the last answers get when the server is closed.
+# Seconds for the last responses to end when the server is closed.
 SHUTDOWN_S = 0.3
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class Listener:
-    """A listening HTTP server that knows which connections are in use.
+    """An HTTP server that tracks the state of its connections.
 
     Attributes:
-      listener: the listening socket.
+      listener: server of the listening socket.
     """
 
     __slots__ = ("_keepalive_s", "_registry", "listener")
@@ -33,9 +33,9 @@
         self._registry = connections.Registry()
         self.listener: asyncio.Server
 
-    def connect(self, server: web.Server) -> connections.OwingConnection:
-        """Makes the protocol of a new connection."""
-        return connections.OwingConnection(
+    def connect(self, server: web.Server) -> connections.TrackedConnection:
+        """Creates the protocol of a new connection."""
+        return connections.TrackedConnection(
             server,
             self._registry,
             loop=asyncio.get_running_loop(),
@@ -44,20 +44,20 @@
         )
 
     def count_connections(self) -> connections.ConnectionCounts:
-        """Returns how many connections are open, by what they owe."""
+        """Returns the number of open connections in each state."""
         return self._registry.count()
 
-    def leave(self) -> None:
-        """Refuses new connections and closes the others once they owe nothing.
+    def drain(self) -> None:
+        """Stops accepting, and closes connections once they are idle.
 
-        The library's own ways would leave idle connections open, unread or
-        not, until the process ends.
+        The library's own shutdown would leave idle connections open until the
+        process exits, even those with unread data.
         """
         self.listener.close()
-        self._registry.leave()
+        self._registry.drain()
 
     async def close_connections(self) -> None:
-        """Gives answers a moment to end, then aborts their connections."""
+        """Drains the connections briefly, then aborts those still open."""
         await self._registry.close(SHUTDOWN_S)
 
     def abort(self) -> None:
@@ -65,7 +65,7 @@
         self._registry.abort()
 
     async def wait_closed(self) -> None:
-        """Waits until all connections are closed and their bytes are sent."""
+        """Waits until all connections are flushed and closed."""
         await self._registry.wait_empty()
 
 
@@ -73,19 +73,31 @@
 async def open_listener(
     handler: Handler, address: settings_lib.SocketAddress, keepalive_s: float
 ) -> AsyncIterator[Listener]:
-    """Serves HTTP at an address while the context is open."""
-    served = Listener(keepalive_s)
+    """Serves HTTP at an address while the context is open.
+
+    Args:
+      handler: handles each request; cancelled when its caller disconnects.
+      address: address to listen on.
+      keepalive_s: seconds for which an idle connection is kept open.
+
+    Yields:
+      The listener.
+
+    Raises:
+      OSError: the address cannot be listened on.
+    """
+    http_listener = Listener(keepalive_s)
     server = web.Server(handler, handler_cancellation=True)
     loop = asyncio.get_running_loop()
-    served.listener = await loop.create_server(
-        lambda: served.connect(server),
+    http_listener.listener = await loop.create_server(
+        lambda: http_listener.connect(server),
         address.host,
         address.port,
         backlog=BACKLOG,
     )
     try:
-        yield served
+        yield http_listener
     finally:
-        served.listener.close()
-        await served.close_connections()
+        http_listener.listener.close()
+        await http_listener.close_connections()
         await server.shutdown(SHUTDOWN_S)
--- a/rhubarblock/daemon/listing.py
+++ b/rhubarblock/daemon/listing.py
@@ -1,7 +1,8 @@
-"""Keeps an instance in the platform's list while it runs.
+"""Registers an instance in the platform's instance list while it runs.
 
-Without the platform the seeds and the peers still know it, so a failed write
-is tried again later and never stops the instance.
+The list only helps others find the instance; its seeds and peers know it
+without the platform. A failed write is therefore retried later and never stops
+the instance.
 """
 
 from collections.abc import AsyncIterator
@@ -13,12 +14,12 @@
 from rhubarblock.store import instances
 from rhubarblock.store import store as stores
 
-# Seconds between two looks at the own line.
+# Seconds between two checks of the instance's own record.
 CHECK_INTERVAL_S = 30.0
 
 
 class Listing:
-    """The line of one instance in the list."""
+    """The record of one instance in the instance list."""
 
     __slots__ = ("_name", "_store", "_value")
 
@@ -30,18 +31,18 @@
         self._value = instances.encode_instance(own)
 
     async def write(self) -> None:
-        """Writes the line unless it stands there already."""
+        """Writes the record if it is missing or differs; ignores failures."""
         with contextlib.suppress(stores.StoreError):
-            await self.claim()
+            await self.ensure_written()
 
-    async def claim(self) -> bool:
-        """Writes the line unless it stands there already.
+    async def ensure_written(self) -> bool:
+        """Writes the record if it is missing or differs.
 
         Returns:
           Whether it was written.
 
         Raises:
-          store.StoreError: the store gave no answer, or refused.
+          store.StoreError: the store did not answer, or rejected the call.
         """
         version = await self._find_version()
         if version is None:
@@ -50,38 +51,42 @@
         return True
 
     async def enter(self, is_first_start: bool) -> stores.Page:
-        """Enters the list and returns it, in as few calls as there can be.
+        """Registers the instance and returns the list, with few store calls.
 
-        It is written before it is read, so that of two instances that start
-        together one finds the other. A first start finds no line and writes at
-        once; any other one mostly finds its line as it should be.
+        The list that it returns is read after the record is written, so of two
+        instances that start together at least one finds the other. A first
+        start writes at once, since there is no record yet; other starts usually
+        find an unchanged record and need only one call.
 
         Args:
-          is_first_start: whether nothing of the fleet ran before.
+          is_first_start: whether no instance of the fleet has run before.
+
+        Returns:
+          The list with this instance's record in it.
 
         Raises:
-          store.StoreError: the store gave no answer, or refused.
+          store.StoreError: the store did not answer, or rejected the call.
         """
         if is_first_start:
             await self._create()
         page = await self._store.list_objects(instances.OBJECT_PREFIX)
-        lines = {stored.name: stored for stored in page.objects}
-        line = lines.get(self._name)
-        if line is not None and line.value == self._value:
+        records = {stored.name: stored for stored in page.objects}
+        record = records.get(self._name)
+        if record is not None and record.value == self._value:
             return page
-        version = line.version if line else positions.NOWHERE
+        version = record.version if record else positions.NOWHERE
         await self._store.write(self._name, self._value, version)
         return await self._store.list_objects(instances.OBJECT_PREFIX)
 
     async def remove(self) -> None:
-        """Takes the line out, if it is still the one of this start."""
+        """Deletes the record unless a later start has replaced it."""
         with contextlib.suppress(stores.StoreError):
             stored = await self._store.read(self._name)
             if stored.value == self._value:
                 await self._store.delete(self._name, stored.version)
 
     async def _create(self) -> None:
-        """Writes the line if there is none."""
+        """Writes the record if there is none."""
         try:
             await self._store.write(self._name, self._value, positions.NOWHERE)
         except stores.StoreError as error:
@@ -89,7 +94,7 @@
                 raise
 
     async def _find_version(self) -> positions.Position | None:
-        """Returns the version to write over, None when nothing is to do."""
+        """Returns the version to overwrite, None if nothing has changed."""
         try:
             stored = await self._store.read(self._name)
         except stores.StoreError as error:
@@ -105,7 +110,7 @@
     data_centre: str,
     capacity: capacities.Capacity = capacities.UNKNOWN,
 ) -> instances.ListedInstance:
-    """Returns the line of an entry instance."""
+    """Returns the record of an entry instance."""
     return instances.ListedInstance(
         instance_id,
         address,
@@ -122,17 +127,17 @@
     own: instances.ListedInstance,
     timers: timer_service.Timers,
 ) -> AsyncIterator[None]:
-    """Is in the platform's list while the context is open.
+    """Keeps an instance in the platform's list while the context is open.
 
     Args:
       store: the platform's object API.
       own: this instance.
       timers: timer service.
     """
-    line = Listing(store, own)
-    await line.write()
+    record = Listing(store, own)
+    await record.write()
     try:
-        with timers.subscribe(CHECK_INTERVAL_S, line.write):
+        with timers.subscribe(CHECK_INTERVAL_S, record.write):
             yield
     finally:
-        await line.remove()
+        await record.remove()
--- a/rhubarblock/daemon/listing_test.py
+++ b/rhubarblock/daemon/listing_test.py
@@ -1,4 +1,4 @@
-"""Calls by which an instance enters the list, in each state of its line."""
+"""Store calls of a registration, for each state of the instance's record."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 VALUE = instances.encode_instance(OWN)
 
 
-def at(revision):
+def make_position(revision):
     return positions.Position(0, revision)
 
 
-class Store(stores.ObjectStore):
-    """Holds lines and notes the calls."""
+class RecordingStore(stores.ObjectStore):
+    """Holds records in memory and logs the calls."""
 
-    def __init__(self, lines):
-        self.lines = dict(lines)
+    def __init__(self, records):
+        self.records = dict(records)
         self.calls = []
 
     async def read(self, name):
@@ -30,17 +30,17 @@
     async def list_objects(self, prefix):
         self.calls.append("list")
         found = [
-            stores.StoredObject(name, at(3), value)
-            for name, value in self.lines.items()
+            stores.StoredObject(name, make_position(3), value)
+            for name, value in self.records.items()
         ]
-        return stores.Page(tuple(found), at(3))
+        return stores.Page(tuple(found), make_position(3))
 
     async def write(self, name, value, expected_version):
         self.calls.append(f"write over {expected_version.revision}")
-        if not expected_version and name in self.lines:
+        if not expected_version and name in self.records:
             raise stores.StoreError(stores.StoreErrorKind.CONFLICT)
-        self.lines[name] = value
-        return stores.StoredObject(name, at(4), value)
+        self.records[name] = value
+        return stores.StoredObject(name, make_position(4), value)
 
     async def delete(self, name, expected_version):
         raise AssertionError("nothing is deleted")
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "is_first_start", "calls"),
+    ("record", "is_first_start", "calls"),
     [
         (None, True, ["write over 0", "list"]),
         (VALUE, False, ["list"]),
@@ -61,8 +61,10 @@
         (b"moved", True, ["write over 0", "list", "write over 3", "list"]),
     ],
 )
-def test_line_is_as_it_should_be_after_few_calls(line, is_first_start, calls):
-    store = Store({"instances/i1": line} if line else {})
+def test_registration_makes_the_expected_store_calls(
+    record, is_first_start, calls
+):
+    store = RecordingStore({"instances/i1": record} if record else {})
     page = asyncio.run(listing.Listing(store, OWN).enter(is_first_start))
     assert store.calls == calls
     assert [stored.value for stored in page.objects] == [VALUE]
--- a/rhubarblock/daemon/loopbackfleet_test.py
+++ b/rhubarblock/daemon/loopbackfleet_test.py
@@ -1,4 +1,4 @@
-"""A small fleet on real loopback sockets, for the tests of callers' sides."""
+"""A small fleet on loopback sockets, for tests of the callers' APIs."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -39,7 +39,10 @@
 def make_catalogue(
     context_tokens: int = 10_000, decode_share: float = 0.0
 ) -> catalogues.Catalogue:
-    """Returns that of the demo; one more credential's workspace is unknown."""
+    """Returns the demo's catalogue with the credentials of these tests.
+
+    The workspace of ``STRAY_SECRET`` is not in the catalogue.
+    """
     catalogue = codec.decode(demofleet.make_catalogue())
     models, services = dict(catalogue.models), dict(catalogue.services)
     models["reader"] = dataclasses.replace(
@@ -71,7 +74,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """What runs, and short ways to talk to it."""
+    """A running fleet, with helpers for tests."""
 
     url: str
     engine: engines.Engine
@@ -83,7 +86,7 @@
         return self.servers[0].caller_address
 
     async def assert_idle(self) -> None:
-        """Waits until nothing is held for a caller any more."""
+        """Waits until no resources are held for any caller."""
         await wait_until(lambda: not self.engine.kv_held())
         for running in self.servers:
             parts = running.instance.parts
@@ -100,7 +103,7 @@
 async def run_fleet(
     count: int = 1, limits: settings_lib.LimitsSettings | None = None
 ) -> AsyncIterator[Fleet]:
-    """Runs one engine, one service and some instances."""
+    """Runs one engine, one plain service and ``count`` instances."""
     timers = timer_service.LoopTimers()
     store = platform.MemoryStore(timers, random.Random(1))
     listed = instancelist.InstanceList(
@@ -144,7 +147,7 @@
 def make_settings(
     number: int, url: str, limits: settings_lib.LimitsSettings | None = None
 ) -> settings_lib.EntrySettings:
-    """Returns the settings of an instance on free ports."""
+    """Returns settings of an instance that listens on free ports."""
     free = kinds.Address("127.0.0.1", 0)
     return settings_lib.EntrySettings(
         instance=settings_lib.InstanceSettings(
@@ -163,7 +166,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RawAnswer:
-    """An HTTP answer as it came over the socket."""
+    """An HTTP response as received from the socket."""
 
     status: int
     headers: dict[str, str]
@@ -198,7 +201,7 @@
 
 
 async def exchange(address: str, data: bytes) -> RawAnswer:
-    """Sends bytes and reads one answer up to the end of the connection."""
+    """Sends bytes on a new connection, reads one response and closes it."""
     reader, writer = await connect(address)
     writer.write(data)
     try:
@@ -217,7 +220,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> RawAnswer:
-    """Reads one answer, its body by length or by chunks."""
+    """Reads one response with a known length or in chunks."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in head[1:] if line)
     if "content-length" in headers:
@@ -236,7 +239,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits for a condition; the limit only ends a test that hangs."""
+    """Waits for a condition; the timeout only ends a test that hangs."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/rhubarblock/daemon/memorytransport_test.py
+++ b/rhubarblock/daemon/memorytransport_test.py
@@ -1,14 +1,14 @@
-"""A caller's connection without sockets, for tests on the virtual clock."""
+"""A transport without sockets, for tests on the virtual clock."""
 
 import asyncio
 
 
 class MemoryTransport(asyncio.Transport):
-    """The instance's end of a connection; bytes are delivered at once.
+    """The instance's end of a connection, which delivers bytes immediately.
 
     Attributes:
-      sent: what the instance sent.
-      unread: what came while the instance had paused.
+      sent: bytes that the instance sent.
+      unread: bytes received while the instance had paused reading.
       closed: set once the connection is closed.
     """
 
@@ -22,7 +22,7 @@
         protocol.connection_made(self)
 
     def receive(self, data):
-        """Lets the instance read bytes, unless it has closed or paused."""
+        """Delivers bytes, unless the instance closed or paused reading."""
         if self.is_closing():
             return
         if self._is_paused:
--- a/rhubarblock/daemon/outside.py
+++ b/rhubarblock/daemon/outside.py
@@ -1,4 +1,4 @@
-"""What a daemon meets outside: platform, endpoints, peers; as one value."""
+"""Clients of an instance for the platform and the endpoints."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Outside:
-    """Clients of everything that is not an entry instance.
+    """Clients of everything outside the fleet of entry instances.
 
     Attributes:
       timers: timer service.
       store: the platform's object API.
-      source: the platform's lagging list.
-      engines: way to the model engines.
-      services: way to the plain services.
+      source: the platform's instance list, which lags behind.
+      engines: client of the model engines.
+      services: client of the plain services.
     """
 
     timers: timer_service.Timers
--- a/rhubarblock/daemon/peersearch.py
+++ b/rhubarblock/daemon/peersearch.py
@@ -1,4 +1,4 @@
-"""Finds the other instances at a start, by the store's list of them."""
+"""Discovers peers at the start, through the instance list in the store."""
 
 import asyncio
 import logging
@@ -14,28 +14,28 @@
 from rhubarblock.store import instances
 from rhubarblock.store import store as stores
 
-# Seconds between two tries until the store answered once.
-RETRY_S = 1.0
-# Seconds over which the instances look at their lines after the store came back
-# older, each at a moment of its own, and between two tries then.
-SPREAD_S = 1.0
+# Seconds between two attempts to register at the start.
+REGISTER_RETRY_S = 1.0
+# Seconds over which the instances spread the checks of their own records after
+# the store came back from an older copy, and between two attempts of a check.
+RESTORE_SPREAD_S = 1.0
 AGAIN_S = 0.25
 
 _logger = logging.getLogger(__name__)
 
 
 class PeerSearch:
-    """Enters the list of instances and greets the others in it."""
+    """Registers an instance and sends heartbeats to the listed peers."""
 
     __slots__ = (
         "_eras",
-        "_line",
         "_metrics",
-        "_updates",
         "_peers",
+        "_record",
         "_settings",
         "_store",
         "_timers",
+        "_updates",
     )
 
     def __init__(
@@ -48,20 +48,21 @@
         eras: era_lib.EraTracker,
         metrics: metric_store.Metrics,
     ):
-        """Creates a search; ``run`` makes it.
+        """Creates a search; ``run`` starts it.
 
         Args:
-          settings: who this instance is.
-          store: has the list.
-          peers: takes who is there.
-          updates: greets them.
-          timers: sleeps.
-          eras: tells when the store came back older.
-          metrics: counts lines that were written again.
+          settings: settings of this instance.
+          store: store with the instance list.
+          peers: table to which the listed peers are added.
+          updates: sends heartbeats to the peers.
+          timers: timer service.
+          eras: notifies of a new era, when the store came back from an older
+            copy.
+          metrics: counts records that were written again.
         """
         self._eras = eras
         self._metrics = metrics
-        self._line = listing.Listing(
+        self._record = listing.Listing(
             store,
             listing.describe_entry(
                 settings.instance_id,
@@ -77,63 +78,72 @@
         self._timers = timers
 
     async def run(self) -> None:
-        """Ends once the store answered and the others were greeted."""
-        await self._greet_listed(await self._enter_list())
+        """Registers the instance, adds the listed peers and greets them.
+
+        Retries until the store answers.
+        """
+        await self._greet_listed(await self._register())
 
-    async def _enter_list(self) -> stores.Page:
-        """Returns the list once this instance stands in it."""
+    async def _register(self) -> stores.Page:
+        """Returns the list once this instance is registered in it."""
         while True:
             try:
-                return await self._line.enter(self._settings.is_first_start)
+                return await self._record.enter(self._settings.is_first_start)
             except stores.StoreError as error:
-                _logger.debug("peers can't be listed: %s", error)
-                await self._timers.sleep(RETRY_S)
+                _logger.debug("cannot register in the instance list: %s", error)
+                await self._timers.sleep(REGISTER_RETRY_S)
 
     async def _greet_listed(self, page: stores.Page) -> None:
         for stored in page.objects:
-            self._take_line(stored)
+            self._add_peer(stored)
         await self._updates.send_heartbeat()
 
     async def keep_listed(self) -> None:
-        """Writes the line again when the store came back without it.
+        """Restores the record when the store came back without it.
 
-        Runs until it is cancelled. The others that are listed then are greeted,
-        as one that started meanwhile may not know this one.
+        Runs until it is cancelled. After a restore it sends heartbeats to the
+        listed peers, since one that started meanwhile may not know this
+        instance.
         """
-        changed = asyncio.Event()
-        self._eras.listen(changed.set)
+        era_changed = asyncio.Event()
+        self._eras.listen(era_changed.set)
         while True:
-            await changed.wait()
-            changed.clear()
-            await self._timers.sleep(self._choose_delay())
-            await self._enter_again(changed)
+            await era_changed.wait()
+            era_changed.clear()
+            await self._timers.sleep(self._compute_delay())
+            await self._restore_record(era_changed)
 
-    async def _enter_again(self, changed: asyncio.Event) -> None:
-        while not changed.is_set():
+    async def _restore_record(self, era_changed: asyncio.Event) -> None:
+        while not era_changed.is_set():
             try:
-                if await self._line.claim():
+                if await self._record.ensure_written():
                     self._metrics.count("store.written_again")
                     _logger.warning(
                         "own line was lost and is written again",
                         extra={"era": self._eras.current},
                     )
-                    await self._greet_listed(await self._line.enter(False))
+                    await self._greet_listed(await self._record.enter(False))
             except stores.StoreError as error:
                 _logger.info(
-                    "own line can't be checked", extra={"reason": str(error)}
+                    "cannot check the own record in the instance list",
+                    extra={"reason": str(error)},
                 )
                 await self._timers.sleep(AGAIN_S)
                 continue
             return
 
-    def _choose_delay(self) -> float:
-        """Returns the seconds after which this instance looks at its line."""
+    def _compute_delay(self) -> float:
+        """Returns the seconds after which this instance checks its record."""
         name = self._settings.instance_id.encode()
-        return SPREAD_S * zlib.crc32(name) / (1 << 32)
+        return RESTORE_SPREAD_S * zlib.crc32(name) / (1 << 32)
 
-    def _take_line(self, stored: stores.StoredObject) -> None:
-        line = instances.decode_instance(stored.value)
-        host, _, port = line.address.rpartition(":")
+    def _add_peer(self, stored: stores.StoredObject) -> None:
+        record = instances.decode_instance(stored.value)
+        host, _, port = record.address.rpartition(":")
         self._peers.add(
-            host, int(port), line.instance_id, line.data_centre, line.capacity
+            host,
+            int(port),
+            record.instance_id,
+            record.data_centre,
+            record.capacity,
         )
--- a/rhubarblock/daemon/plannedstop.py
+++ b/rhubarblock/daemon/plannedstop.py
@@ -1,8 +1,8 @@
-"""A planned stop: the balancer sees it, connections are left, answers end.
+"""A planned stop: fails readiness, drains connections, ends responses.
 
-It waits for connections and not only for handlers, since a request that has
-been read may have no handler yet, and the last bytes of an answer may still
-wait for a slow caller when its handler has returned.
+It waits for connections and not only for handlers: a request that has been
+read may have no handler yet, and the last bytes of a response may still be
+buffered for a slow caller after its handler has returned.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 from rhubarblock.kernel import lifecycle as lifecycles
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds after the signal to stop for which new connections are still taken:
-# a balancer that asks once a second needs two refusals to see it.
-LEAVE_S = 2.6
-# Seconds that are kept of the grace for the exit, and the share of the rest
-# after which connections are left at the latest.
-EXIT_S = 0.6
-LEAVE_PART = 0.5
+# Seconds after the stop signal for which new connections are still accepted: a
+# load balancer that checks once a second needs two failed checks to notice.
+LAME_DUCK_S = 2.6
+# Seconds of the grace period that are reserved for the exit of the process, and
+# the share of the remaining period after which the drain begins at the latest.
+EXIT_RESERVE_S = 0.6
+LAME_DUCK_MAX_SHARE = 0.5
 
 _logger = logging.getLogger(__name__)
 
 
 class PlannedStop:
-    """Stops one instance without cutting a request."""
+    """Stops one instance without aborting requests in flight."""
 
     __slots__ = (
         "_callers",
@@ -43,14 +43,14 @@
         grace_s: float,
         timers: timer_service.Timers,
     ):
-        """Creates a stop that has not begun.
+        """Creates a stop; ``run`` starts it.
 
         Args:
           instance_id: name of the instance.
-          lifecycle: its state and the count of its handlers.
-          callers: where its callers connect.
-          grace_s: seconds from the signal to stop to the kill.
-          timers: the clock.
+          lifecycle: its state and its count of requests in flight.
+          callers: its listener for callers.
+          grace_s: grace period in seconds from the stop signal to the kill.
+          timers: timer service.
         """
         self._instance_id = instance_id
         self._lifecycle = lifecycle
@@ -59,20 +59,25 @@
         self._timers = timers
 
     async def run(self) -> None:
-        """Returns once nothing is owed any more, or the grace is nearly over.
+        """Returns once all requests are answered or the time is over.
 
-        Idle connections are closed when the balancer knows: a caller that kept
-        one would else send a request so late that it could not end in time.
+        The time is the grace period less ``EXIT_RESERVE_S``.
+
+        Idle connections are closed once the load balancer has noticed the stop;
+        otherwise a caller could send a request on one of them too late for it
+        to end within the grace period.
         """
         self._log_lifecycle(self._lifecycle.start_drain)
-        length_s = max(0.0, self._grace_s - EXIT_S)
-        latest_s = self._timers.read_monotonic() + length_s
-        await self._timers.sleep(min(LEAVE_S, LEAVE_PART * length_s))
+        budget_s = max(0.0, self._grace_s - EXIT_RESERVE_S)
+        deadline_s = self._timers.read_monotonic() + budget_s
+        await self._timers.sleep(
+            min(LAME_DUCK_S, LAME_DUCK_MAX_SHARE * budget_s)
+        )
         self._log_connections("leaving connections")
-        self._callers.leave()
+        self._callers.drain()
         try:
             async with asyncio.timeout(
-                latest_s - self._timers.read_monotonic()
+                deadline_s - self._timers.read_monotonic()
             ):
                 await self._callers.wait_closed()
                 await self._lifecycle.wait_idle()
@@ -81,12 +86,13 @@
                 "requests cut", extra={"count": self._lifecycle.in_flight}
             )
         self._log_connections("closing connections")
-        # What is cut gives back now what it holds elsewhere.
+        # Cancels the remaining handlers early enough for them to release what
+        # they hold at other processes.
         self._callers.abort()
         self._log_lifecycle(self._lifecycle.mark_stopped)
 
     def _log_connections(self, message: str) -> None:
-        """Tells what callers' connections owe at a step of the stop."""
+        """Logs the states of the callers' connections."""
         counts = self._callers.count_connections()
         _logger.info(
             message,
--- a/rhubarblock/daemon/plannedstop_test.py
+++ b/rhubarblock/daemon/plannedstop_test.py
@@ -1,4 +1,4 @@
-"""Planned stops of whole instances, met by requests at awkward moments."""
+"""Requests that arrive at critical moments of a planned stop."""
 
 import asyncio
 import dataclasses
@@ -7,7 +7,7 @@
 import pytest
 
 from rhubarblock.daemon import connections
-from rhubarblock.daemon import exchangeinstance_test as wholes
+from rhubarblock.daemon import exchangeinstance_test as instancefixtures
 from rhubarblock.daemon import listener as listeners
 from rhubarblock.daemon import memorytransport_test
 from rhubarblock.daemon import plannedstop
@@ -25,20 +25,20 @@
     f"{names.CREDENTIAL}: secret\r\n"
     f"Content-Length: {len(BODY)}\r\n\r\n"
 ).encode()
-# Seconds that the endpoint takes, over the waits of the exit.
+# Seconds that the endpoint takes; longer than the timeouts of the shutdown.
 RUN_S = 1.2
-# Seconds from the signal to the kill, and between two pieces of a request.
+# Grace period in seconds, and seconds between two pieces of a request.
 GRACE_S = 8.0
-PIECE_S = 0.03
+PIECE_INTERVAL_S = 0.03
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Outcome:
-    """What came of a request.
+    """Outcome of a request.
 
     Attributes:
-      is_answered: whether its caller got the whole answer.
-      is_unread: whether it was neither answered nor handled.
+      is_answered: whether its caller got the complete response.
+      is_unread: whether it was neither handled nor answered.
     """
 
     is_answered: bool
@@ -50,87 +50,92 @@
     await fakes.whole(b"late")(head, writer)
 
 
-def hook_leaving(monkeypatch, step):
-    """Calls a step right before the instance leaves its connections."""
-    leave = listeners.Listener.leave
+def hook_drain(monkeypatch, step):
+    """Calls a function right before the instance drains its connections."""
+    drain = listeners.Listener.drain
 
-    def leave_after(listener):
+    def drain_after_step(listener):
         step(listener)
-        leave(listener)
+        drain(listener)
 
-    monkeypatch.setattr(plannedstop, "LEAVE_S", 0.1)
-    monkeypatch.setattr(listeners.Listener, "leave", leave_after)
+    monkeypatch.setattr(plannedstop, "LAME_DUCK_S", 0.1)
+    monkeypatch.setattr(listeners.Listener, "drain", drain_after_step)
 
 
-async def stop_with_request(meet):
-    """Stops an instance before a slow endpoint, and returns the answer.
+async def stop_during_request(send_request):
+    """Stops an instance with a slow endpoint, and returns the response.
 
     Args:
-      meet: called with a connection of a caller and the running instance's
-        event to stop.
+      send_request: called with the writer of a caller's connection and the stop
+        event of the running instance.
     """
     endpoint = fakes.ScriptedEndpoint(answer_late)
     async with (
         endpoint.open(),
-        wholes.open_instance(endpoint) as (settings, _, stop, running),
+        instancefixtures.open_instance(endpoint) as (
+            settings,
+            _,
+            stop,
+            running,
+        ),
     ):
         reader, writer = await asyncio.open_connection(
             settings.callers.host, settings.callers.port
         )
-        await meet(writer, stop)
+        await send_request(writer, stop)
         answer = await reader.read()
         writer.close()
         await running
         return answer
 
 
-def test_request_read_in_the_turn_of_leaving_gets_its_answer(monkeypatch):
+def test_request_read_just_before_the_drain_is_answered(monkeypatch):
     def read_request(listener):
         (connection,) = listener._registry.list_connections()
         connection.data_received(HEAD + BODY)
 
-    hook_leaving(monkeypatch, read_request)
+    hook_drain(monkeypatch, read_request)
 
-    async def meet(writer, stop):
+    async def send_request(writer, stop):
         stop.set()
 
-    answer = asyncio.run(stop_with_request(meet))
+    answer = asyncio.run(stop_during_request(send_request))
     assert answer.startswith(b"HTTP/1.1 200 ")
     assert answer.endswith(b"late")
 
 
-def test_body_half_read_at_leaving_is_read_to_its_end(monkeypatch):
-    left = asyncio.Event()
-    hook_leaving(monkeypatch, lambda listener: left.set())
-    made = []
+def test_body_partly_read_when_the_drain_begins_is_read_to_its_end(monkeypatch):
+    drain_started = asyncio.Event()
+    hook_drain(monkeypatch, lambda listener: drain_started.set())
+    connected = []
     connect = listeners.Listener.connect
 
-    def connect_noted(listener, server):
-        made.append(connect(listener, server))
-        return made[-1]
+    def connect_and_record(listener, server):
+        connected.append(connect(listener, server))
+        return connected[-1]
 
-    monkeypatch.setattr(listeners.Listener, "connect", connect_noted)
+    monkeypatch.setattr(listeners.Listener, "connect", connect_and_record)
 
-    async def meet(writer, stop):
+    async def send_request(writer, stop):
         writer.write(HEAD + BODY[:5])
         while connections.ConnectionState.READING not in [
-            connection.state for connection in made
+            connection.state for connection in connected
         ]:
             await asyncio.sleep(0.01)
         stop.set()
-        await left.wait()
+        await drain_started.wait()
         writer.write(BODY[5:])
 
-    answer = asyncio.run(stop_with_request(meet))
+    answer = asyncio.run(stop_during_request(send_request))
     assert answer.startswith(b"HTTP/1.1 200 ")
     assert answer.endswith(b"late")
 
 
 class MemoryListener(listeners.Listener):
-    """Takes connections from memory.
+    """A listener for connections in memory.
 
     Attributes:
-      runs: requests that were handed to the handler.
+      runs: number of requests that the handler has read.
     """
 
     def __init__(self, lifecycle, run_s):
@@ -142,11 +147,11 @@
         self.listener = self
 
     def close(self):
-        """Stands for the listening socket; ``connect_caller`` looks."""
+        """Closes nothing; ``connect_caller`` checks whether it drains."""
 
     def connect_caller(self):
-        """Returns a new connection, None if it is refused."""
-        if self._registry.is_leaving:
+        """Returns a new connection, or None if it is refused."""
+        if self._registry.is_draining:
             return None
         return memorytransport_test.MemoryTransport(self.connect(self.server))
 
@@ -162,7 +167,14 @@
 
 
 async def send_during_stop(moment_s, run_s, pieces, is_open):
-    """Sends a request after the signal to stop; returns what came of it."""
+    """Sends a request after the stop signal and returns its outcome.
+
+    Args:
+      moment_s: seconds between the stop signal and the first piece.
+      run_s: seconds that the handler takes.
+      pieces: the request, in pieces that are sent one after the other.
+      is_open: whether the connection was opened before the stop signal.
+    """
     lifecycle = lifecycles.InstanceLifecycle()
     lifecycle.mark_ready()
     listener = MemoryListener(lifecycle, run_s)
@@ -175,11 +187,11 @@
     await asyncio.sleep(moment_s)
     caller = opened or listener.connect_caller()
     if caller is not None:
-        # The first piece is read in this turn of the loop, in which connections
-        # may be left too.
+        # The first piece is read in this iteration of the event loop, in which
+        # the drain may begin, too.
         caller.receive(pieces[0])
         for number, piece in enumerate(pieces[1:], 1):
-            loop.call_later(number * PIECE_S, caller.receive, piece)
+            loop.call_later(number * PIECE_INTERVAL_S, caller.receive, piece)
     await running
     await listener.server.shutdown(listeners.SHUTDOWN_S)
     assert loop.time() <= GRACE_S
@@ -204,13 +216,13 @@
         )
         assert outcome.is_answered or outcome.is_unread, moment_ms
         answered.append(outcome.is_answered)
-    # Up to the moment of leaving all are answered, and after it none.
-    left = sum(answered)
-    assert answered == [True] * left + [False] * (len(answered) - left)
-    assert left * 10 + 2_300 in (2_600, 2_610)
+    # All requests before the drain are answered, and none after it.
+    served = sum(answered)
+    assert answered == [True] * served + [False] * (len(answered) - served)
+    assert served * 10 + 2_300 in (2_600, 2_610)
 
 
-def test_answer_to_a_caller_that_is_gone_does_not_hold_a_stop():
+def test_disconnected_caller_does_not_delay_a_stop():
     async def main():
         lifecycle = lifecycles.InstanceLifecycle()
         lifecycle.mark_ready()
@@ -224,11 +236,11 @@
         ).run()
         return asyncio.get_running_loop().time()
 
-    assert virtualloop.run(main()) < plannedstop.LEAVE_S + 0.2
+    assert virtualloop.run(main()) < plannedstop.LAME_DUCK_S + 0.2
 
 
 @pytest.mark.parametrize("grace_s", [1.0, 2.0, GRACE_S])
-def test_request_that_outlasts_the_grace_is_cut_within_it(grace_s):
+def test_request_longer_than_the_grace_period_is_cancelled_in_time(grace_s):
     async def main():
         lifecycle = lifecycles.InstanceLifecycle()
         lifecycle.mark_ready()
@@ -237,7 +249,7 @@
         await plannedstop.PlannedStop(
             "i1", lifecycle, listener, grace_s, timer_service.LoopTimers()
         ).run()
-        # The handler gives back what it holds before the exit begins.
+        # The cancelled handler releases what it holds before the process exits.
         await asyncio.sleep(0.01)
         return (
             asyncio.get_running_loop().time(),
@@ -246,21 +258,28 @@
         )
 
     ended_s, state, in_flight = virtualloop.run(main())
-    assert ended_s == pytest.approx(grace_s - plannedstop.EXIT_S, abs=0.02)
+    assert ended_s == pytest.approx(
+        grace_s - plannedstop.EXIT_RESERVE_S, abs=0.02
+    )
     assert (state, in_flight) == (lifecycles.LifecycleState.STOPPED, 0)
 
 
-def test_request_behind_another_one_of_a_draining_instance_is_answered():
+def test_pipelined_requests_to_a_draining_instance_are_answered():
     async def main():
         endpoint = fakes.ScriptedEndpoint(
             fakes.whole(b"first"), fakes.whole(b"second")
         )
         async with (
             endpoint.open(),
-            wholes.open_instance(endpoint) as (settings, session, stop, _),
+            instancefixtures.open_instance(endpoint) as (
+                settings,
+                session,
+                stop,
+                _,
+            ),
         ):
             stop.set()
-            while await wholes.ask_ready(session, settings) == 200:
+            while await instancefixtures.ask_ready(session, settings) == 200:
                 await asyncio.sleep(0.01)
             reader, writer = await asyncio.open_connection(
                 settings.callers.host, settings.callers.port
--- a/rhubarblock/daemon/promptparts.py
+++ b/rhubarblock/daemon/promptparts.py
@@ -1,7 +1,7 @@
-"""Puts together the parts of one instance that serve prompts.
+"""Assembles the parts of one instance that serve prompts.
 
 The daemon, the demo and the experiments build the same parts; they differ in
-the transports and the clock that they hand in.
+the transports and the clock that they pass in.
 """
 
 from collections.abc import Callable
@@ -37,18 +37,18 @@
 from rhubarblock.routing.placement import policy as policies
 from rhubarblock.routing.placement import predictor as predictors
 
-# Seconds between two reports of progress to the coordinators.
+# Seconds between two progress reports to the coordinators.
 PROGRESS_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Identity:
-    """Which instance this is, and which start of it.
+    """Identity of one start of an instance.
 
     Attributes:
       instance_id: unique name.
-      incarnation: rises with each start.
-      data_centre: where it runs.
+      incarnation: increases with each start.
+      data_centre: data centre in which it runs.
     """
 
     instance_id: str
@@ -57,26 +57,26 @@
 
     @property
     def owner(self) -> attemptid.Owner:
-        """The name under which it owns attempts at engines."""
+        """Owner under which its attempts are registered at engines."""
         return attemptid.Owner(self.instance_id, self.incarnation)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Surroundings:
-    """What the parts need from outside.
+    """Dependencies of the parts that serve prompts.
 
     Attributes:
       timers: timer service.
       rng: source of jitter.
-      client: way to the engines.
-      peers: way to the other instances.
+      client: client of the engines.
+      peers: transport for calls to the other instances.
       policy: placement policy.
-      find_service: gives the engine service of a model.
-      find_coordinator: gives the coordinator of an engine service.
-      count_instances: gives the number of live instances.
-      weigh: gives the weight of a request's flow.
-      list_reserved: gives, of the engines of a service, those that only
-        suspects may use at present.
+      find_service: returns the engine service of a model.
+      find_coordinator: returns the coordinator of an engine service.
+      count_instances: returns the number of live instances.
+      weigh: returns the fair-queueing weight of a request.
+      list_reserved: returns the engines of a service that are reserved for
+        suspect requests at present.
     """
 
     timers: timer_service.Timers
@@ -95,21 +95,21 @@
     """The parts of one instance that serve prompts.
 
     Attributes:
-      identity: this instance.
-      lifecycle: its state.
+      identity: identity of this instance.
+      lifecycle: its lifecycle state.
       metrics: its counters.
-      table: its view of the engines' load.
-      ledger: the grants that it counts.
-      placement: places its prompts.
-      queue: what waits to go out.
-      admission: decides by deadline.
+      table: load of the engines, as this instance sees it.
+      ledger: grants of engine capacity that this instance counts.
+      placement: client that places prompts.
+      queue: prompts that wait to be sent.
+      admission: admission control by deadline.
       relay: serves prompts.
-      retry_budget: bounds the retries of the instance.
-      cleanup: cancellations under way.
+      retry_budget: limits the retries of the instance.
+      cleanup: cancellations of attempts that are still in progress.
     """
 
     __slots__ = (
-        "_around",
+        "_dependencies",
         "_stalls",
         "admission",
         "cleanup",
@@ -127,7 +127,7 @@
     def __init__(
         self,
         identity: Identity,
-        around: Surroundings,
+        dependencies: Surroundings,
         lifecycle: lifecycles.InstanceLifecycle,
         metrics: metric_store.Metrics,
         guard: guards.Guard,
@@ -136,37 +136,45 @@
         self.identity = identity
         self.lifecycle = lifecycle
         self.metrics = metrics
-        self._around = around
+        self._dependencies = dependencies
         self.table = loadtable.LoadTable()
         self.ledger = ledgers.Ledger(
-            self.table, around.policy, around.timers, around.list_reserved
+            self.table,
+            dependencies.policy,
+            dependencies.timers,
+            dependencies.list_reserved,
         )
         self.placement = coordination.PlacementClient(
             identity.instance_id,
             self.ledger,
-            around.policy,
-            around.peers,
-            around.find_coordinator,
+            dependencies.policy,
+            dependencies.peers,
+            dependencies.find_coordinator,
             metrics,
         )
         self.queue = lanes.LaneQueues(
-            queue_settings, around.policy, around.weigh, self._size_window
+            queue_settings,
+            dependencies.policy,
+            dependencies.weigh,
+            self._compute_window,
+        )
+        self.retry_budget = retrybudget.RetryBudget(dependencies.timers)
+        self._stalls = stalls.StallDetector(dependencies.timers)
+        self.cleanup = cleanups.Cleanup(
+            dependencies.client, dependencies.timers, metrics
         )
-        self.retry_budget = retrybudget.RetryBudget(around.timers)
-        self._stalls = stalls.StallDetector(around.timers)
-        self.cleanup = cleanups.Cleanup(around.client, around.timers, metrics)
         self.relay = self._build_relay(guard)
 
     def _build_relay(self, guard: guards.Guard) -> promptrelay.PromptRelay:
-        around = self._around
+        dependencies = self._dependencies
         predictor = predictors.Predictor()
         self.admission = admissions.Admission(
-            predictor, admits_all=not around.policy.uses_lengths
+            predictor, admits_all=not dependencies.policy.uses_lengths
         )
         runner = runners.AttemptRunner(
-            around.client,
+            dependencies.client,
             self._find_address,
-            around.timers,
+            dependencies.timers,
             self._stalls,
             self.cleanup,
         )
@@ -181,28 +189,34 @@
                 routing,
                 runner,
                 guard,
-                around.find_service,
-                around.timers,
+                dependencies.find_service,
+                dependencies.timers,
                 self.metrics,
             ),
             guard,
-            retries.RetryPolicy(self.retry_budget, around.timers, around.rng),
-            around.timers,
+            retries.RetryPolicy(
+                self.retry_budget, dependencies.timers, dependencies.rng
+            ),
+            dependencies.timers,
             self.metrics,
         )
 
     @contextlib.contextmanager
-    def run_ticks(self) -> Iterator[None]:
-        """Keeps the regular work going while the context is open."""
-        timers = self._around.timers
+    def run_periodic_tasks(self) -> Iterator[None]:
+        """Runs the periodic tasks while the context is open."""
+        timers = self._dependencies.timers
         with (
             stalls.run_stall_detector(self._stalls, timers),
             timers.subscribe(PROGRESS_INTERVAL_S, self.placement.send_progress),
         ):
             yield
 
-    def _size_window(self) -> float:
-        """Returns the prompt tokens that may be out at the engines."""
+    def _compute_window(self) -> float:
+        """Returns the most prompt tokens to have in flight at the engines.
+
+        It is this instance's share of what the usable prefill engines compute
+        in ``fairqueue.WINDOW_S`` seconds.
+        """
         workers = [
             load
             for load in self.table.list_usable()
@@ -210,7 +224,9 @@
         ]
         rate = sum(load.prefill_rate for load in workers)
         return (
-            fairqueue.WINDOW_S * rate / max(1, self._around.count_instances())
+            fairqueue.WINDOW_S
+            * rate
+            / max(1, self._dependencies.count_instances())
         )
 
     def _find_address(self, endpoint_id: str) -> str:
--- a/rhubarblock/daemon/server.py
+++ b/rhubarblock/daemon/server.py
@@ -1,4 +1,4 @@
-"""An entry instance behind its sockets: callers, operators, peers."""
+"""Serves an entry instance on sockets for callers, operators and peers."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Iterator
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Server:
-    """A running instance and the addresses that it listens on.
+    """A running instance and the addresses on which it listens.
 
     Attributes:
       instance: the instance.
@@ -50,17 +50,17 @@
     """Runs an instance on real sockets while the context is open.
 
     Args:
-      settings: checked settings.
+      settings: validated settings.
 
     Yields:
       The running instance, ready for callers.
 
     Raises:
-      OSError: an address cannot be listened on, or key material be read.
+      OSError: an address cannot be listened on, or a TLS file cannot be read.
     """
     async with contextlib.AsyncExitStack() as stack:
         outside = await stack.enter_async_context(
-            sockets.open_outside(settings)
+            sockets.open_clients(settings)
         )
         incarnation = int(outside.timers.read_wall() * _MS_PER_S)
         peers = await stack.enter_async_context(
@@ -70,13 +70,14 @@
             settings,
             outside,
             instances.PeerPort(peers, _choose_address(settings, peers)),
-            # Ids must differ between starts, so the system seeds them.
+            # Ids must differ between starts, so the generator takes its seed
+            # from the operating system.
             random.Random(),
             incarnation,
         )
         stack.enter_context(_send_metrics(instance))
-        # The servers open before and close after the instance, so that a
-        # drain still answers callers and the health paths.
+        # The outer stack closes the servers after the instance has drained, so
+        # callers and health checks are answered during the drain.
         async with contextlib.AsyncExitStack() as serving:
             await serving.enter_async_context(instance.run())
             server = await _open_servers(instance, stack)
@@ -104,7 +105,7 @@
 def _choose_address(
     settings: settings_lib.EntrySettings, peers: grpcpeers.GrpcPeers
 ) -> str:
-    """Returns where other instances reach this one."""
+    """Returns the address at which other instances reach this one."""
     advertised = settings.instance.advertise
     if advertised is None:
         return peers.address
--- a/rhubarblock/daemon/server_test.py
+++ b/rhubarblock/daemon/server_test.py
@@ -1,4 +1,4 @@
-"""``serve`` with bad settings, and its planned stop under load."""
+"""The ``serve`` command with invalid settings, and its stop under load."""
 
 import asyncio
 import contextlib
@@ -32,19 +32,19 @@
 
 
 @pytest.fixture(autouse=True)
-def keep_logging():
-    """Takes back what ``serve`` sets for its whole process."""
+def restore_logging():
+    """Restores the process-wide logging configuration that ``serve`` sets."""
     logger = logging.getLogger(logs.ROOT_LOGGER)
-    kept = logger.handlers, logger.level, logger.propagate
+    saved = logger.handlers, logger.level, logger.propagate
     yield
-    logger.handlers, logger.level, logger.propagate = kept
+    logger.handlers, logger.level, logger.propagate = saved
 
 
 def run_serve(path) -> testing.Result:
     return testing.CliRunner().invoke(serve.serve_command, ["-c", str(path)])
 
 
-def test_missing_settings_file_is_named(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     outcome = run_serve(tmp_path / "entry.ini")
     assert outcome.exit_code == serve.CONFIG_STATUS
     assert (
@@ -52,7 +52,7 @@
     )
 
 
-def test_each_wrong_setting_is_named(tmp_path):
+def test_each_invalid_setting_is_reported(tmp_path):
     path = tmp_path / "entry.ini"
     text = _SETTINGS.format(**_FREE_PORTS | {"listen": "many"})
     path.write_text(text + "pace = 3\n")
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("key", _FREE_PORTS)
-def test_busy_port_is_named(tmp_path, key):
+def test_port_in_use_is_reported(tmp_path, key):
     path = tmp_path / "entry.ini"
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
@@ -79,7 +79,7 @@
 
 
 def test_instance_without_a_catalogue_is_not_ready():
-    """The platform is down and there are no peers to ask."""
+    """The platform is down and there are no peers."""
 
     async def main():
         settings = loopback.make_settings(0, "http://127.0.0.1:1")
@@ -102,8 +102,8 @@
     assert refused.fields["error"]["verdict"] == "NOT_RUN"
 
 
-class Listening(logging.Handler):
-    """Waits for the line that says where an instance listens."""
+class ListeningLogHandler(logging.Handler):
+    """Waits for the log record with the address of an instance."""
 
     def __init__(self):
         super().__init__()
@@ -116,8 +116,8 @@
 
 @contextlib.asynccontextmanager
 async def serve_until_sigterm(settings):
-    """Runs the daemon's own main function; yields it and its address."""
-    handler = Listening()
+    """Runs the daemon's main function; yields its task and its address."""
+    handler = ListeningLogHandler()
     logger = logging.getLogger(serve.__name__)
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
@@ -132,7 +132,7 @@
 
 
 async def send(addresses, data):
-    """Sends a request as behind a balancer: elsewhere if it did not run."""
+    """Sends a request like a load balancer that retries if it did not run."""
     answer = None
     for address in addresses:
         try:
@@ -145,7 +145,7 @@
 
 
 async def upload(address, data):
-    """Sends a request whose body takes longer than the stop begins."""
+    """Sends a request whose body is complete only after the stop began."""
     reader, writer = await loopback.connect(address)
     writer.write(data[:-10])
     await asyncio.sleep(0.3)
@@ -155,13 +155,16 @@
     return answer
 
 
-def test_sigterm_of_one_of_two_instances_cuts_no_request():
-    """Streams, whole answers, calls and uploads are under way; more come."""
+def test_sigterm_to_one_of_two_instances_aborts_no_request():
+    """Streams, unary responses, service calls and an upload are in flight.
+
+    More requests arrive during the stop.
+    """
     body = {"model": "reader", "prompt": "Pick list.", "max_tokens": 60}
     streamed = loopback.make_request(
         json.dumps(body | {"stream": True}).encode()
     )
-    whole = loopback.make_request(json.dumps(body).encode())
+    unary = loopback.make_request(json.dumps(body).encode())
 
     async def main():
         async with (
@@ -175,7 +178,7 @@
             fleet.desk.faults.slow_s = 0.3
             running = [
                 asyncio.ensure_future(loopback.exchange(leaving, data))
-                for data in [streamed, whole] * 6
+                for data in [streamed, unary] * 6
             ]
             for number in range(4):
                 data = loopback.make_request(
@@ -186,7 +189,7 @@
                 running.append(
                     asyncio.ensure_future(loopback.exchange(leaving, data))
                 )
-            late = asyncio.ensure_future(upload(leaving, whole))
+            late = asyncio.ensure_future(upload(leaving, unary))
             await loopback.wait_until(lambda: len(fleet.engine.kv_held()) == 12)
             os.kill(os.getpid(), signal.SIGTERM)
             for _ in range(20):
@@ -196,16 +199,16 @@
             uploaded = await late
             await daemon
             await fleet.assert_idle()
-            doubles = fleet.desk.log.find_double_runs()
-            return answers, uploaded, doubles, len(fleet.desk.log.runs)
+            double_runs = fleet.desk.log.find_double_runs()
+            return answers, uploaded, double_runs, len(fleet.desk.log.runs)
 
-    answers, uploaded, doubles, runs = asyncio.run(main())
+    answers, uploaded, double_runs, runs = asyncio.run(main())
     assert [answer.status for answer in answers] == [200] * 36
     assert len({a.fields["choices"][0]["text"] for a in answers[1:12:2]}) == 1
     for answer in answers[0:12:2] + answers[16:]:
         assert answer.body.endswith(b"data: [DONE]\n\n")
-    assert (doubles, runs) == ([], 4)
-    # The upload was not whole when the stop began, so it was refused.
+    assert (double_runs, runs) == ([], 4)
+    # The upload was incomplete when the stop began, so it was rejected.
     assert uploaded.status == 503
     assert uploaded.fields["error"]["code"] == "draining"
     assert uploaded.fields["error"]["verdict"] == "NOT_RUN"
--- a/rhubarblock/daemon/sockets.py
+++ b/rhubarblock/daemon/sockets.py
@@ -1,4 +1,4 @@
-"""Clients of the outside over real sockets, for the daemon."""
+"""Opens the daemon's clients of platform and endpoints over real sockets."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -13,18 +13,20 @@
 from rhubarblock.store import httpstore
 from rhubarblock.store import instances
 
-# Connections to engines are bounded by the queue, not by the pool.
+# aiohttp's value for an unlimited connection pool: the fair queue bounds the
+# requests to engines.
 NO_CONNECTION_LIMIT = 0
 
 
 @contextlib.asynccontextmanager
-async def open_outside(
+async def open_clients(
     settings: settings_lib.EntrySettings,
 ) -> AsyncIterator[outsides.Outside]:
-    """Opens the clients of one instance and closes them at the end.
+    """Opens the clients of one instance while the context is open.
 
     Args:
-      settings: where the platform is, and how long to wait for it.
+      settings: settings of the instance: its id, and URL and timeout of the
+        platform.
 
     Yields:
       The clients.
--- a/rhubarblock/daemon/statuspages.py
+++ b/rhubarblock/daemon/statuspages.py
@@ -1,4 +1,4 @@
-"""What an instance tells the balancer and those that scrape its counters."""
+"""HTTP pages for the load balancer's readiness checks and for metrics."""
 
 from aiohttp import web
 
@@ -11,7 +11,7 @@
 
 
 class StatusPages:
-    """Handlers of the readiness and the metrics address."""
+    """Handlers of the readiness and the metrics listener."""
 
     __slots__ = ("_config_lease", "_eras", "_lifecycle", "_metrics", "_timers")
 
@@ -26,11 +26,11 @@
         """Creates the pages of one instance.
 
         Args:
-          lifecycle: its state.
-          config_lease: the configuration in force.
+          lifecycle: its lifecycle state.
+          config_lease: the configuration in force and its lease.
           eras: the store's era.
-          timers: counts wake-ups.
-          metrics: counters to show.
+          timers: timer service, for its count of wake-ups.
+          metrics: counters to report.
         """
         self._lifecycle = lifecycle
         self._config_lease = config_lease
@@ -41,7 +41,7 @@
     async def answer_readiness(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Answers 200 while new connections are wanted."""
+        """Answers 200 while the instance can serve new requests, else 503."""
         del request
         ready = (
             self._lifecycle.state is lifecycles.LifecycleState.READY
@@ -52,7 +52,7 @@
     async def answer_metrics(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Answers with all counters as text."""
+        """Answers with all metrics in the text exposition format."""
         del request
         for name, value in (
             ("exchange.in_flight", self._lifecycle.in_flight),
