--- a/rhubarblock/admin/__init__.py
+++ b/rhubarblock/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration API."""
+"""Administration API of an instance, over HTTP."""
--- a/rhubarblock/admin/api.py
+++ b/rhubarblock/admin/api.py
@@ -1,7 +1,8 @@
 """The administration API: HTTP and JSON under ``/admin/v1``.
 
-Every instance serves it. Handlers authenticate, read a typed message, call
-the change service or a provider and send its answer; they keep no state.
+Every instance serves it. Handlers are stateless: they authenticate the request,
+parse a typed message, call the change service or a provider and return its
+result as JSON.
 """
 
 from collections.abc import Callable
@@ -30,7 +31,8 @@
 from rhubarblock.store import store as stores
 
 PREFIX = "/admin/v1"
-# A catalogue must fit into one object of the platform; its text is longer.
+# A catalogue must fit into one object of the platform; its text is longer than
+# its encoding there.
 MAX_BODY_BYTES = 4 * stores.VALUE_LIMIT
 MAX_RECORDS = 1000
 
@@ -40,15 +42,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AdminParts:
-    """What the API works with.
+    """Dependencies of the API.
 
     Attributes:
-      changes: the change service.
-      timers: the timer service.
+      changes: service that validates and stores catalogue changes.
+      timers: timer service.
       get_catalogue: returns the catalogue in force at this instance.
-      status_source: tells the state of the fleet.
+      status_source: provides the status of the fleet.
       drain_control: starts drains.
-      bootstrap_sha256: digest of the secret that writes the first catalogue.
+      bootstrap_sha256: SHA-256 hex digest of the secret that may write the
+        first catalogue; empty for none.
     """
 
     changes: changes.ChangeService
@@ -63,7 +66,7 @@
     """Returns the HTTP application of the administration API.
 
     Args:
-      parts: what it works with.
+      parts: dependencies of the API.
     """
     app = web.Application(
         middlewares=[errors.answer_errors], client_max_size=MAX_BODY_BYTES
@@ -84,7 +87,7 @@
 
 
 class _Api:
-    """The handlers."""
+    """HTTP handlers of the API."""
 
     __slots__ = ("_parts",)
 
@@ -139,11 +142,11 @@
         return _answer_change(outcome, actor)
 
     async def get_history(self, request: web.Request) -> web.Response:
-        """Answers with the revisions, without what they changed."""
+        """Lists the revisions without their changes."""
         actor = self._authenticate(request)
         limit = _read_limit(request)
-        wanted = audittrail.AuditFilter(limit=MAX_RECORDS)
-        records = await self._select_records(wanted, actor)
+        audit_filter = audittrail.AuditFilter(limit=MAX_RECORDS)
+        records = await self._select_records(audit_filter, actor)
         revisions = [
             {
                 "revision": record.revision,
@@ -196,9 +199,10 @@
     async def _read_catalogue(
         self, request: web.Request
     ) -> catalogues.Catalogue:
-        """Returns the catalogue in force, or an older one that is asked for.
+        """Returns the catalogue in force, or the requested revision.
 
-        The platform may be down, so the one in force is this instance's own.
+        The catalogue in force is this instance's own copy, which is available
+        while the platform is down.
         """
         in_force = self._parts.get_catalogue()
         revision = _read_number(request, "revision", in_force.revision)
@@ -219,13 +223,15 @@
         return older
 
     async def _select_records(
-        self, wanted: audittrail.AuditFilter, actor: changes.Actor
+        self, audit_filter: audittrail.AuditFilter, actor: changes.Actor
     ) -> list[audit.AuditRecord]:
         try:
             records = await self._parts.changes.archive.list_records()
         except (stores.StoreError, codec.CodecError) as error:
             raise _refuse_platform(error) from error
-        return audittrail.select_records(records, wanted, actor.institution)
+        return audittrail.select_records(
+            records, audit_filter, actor.institution
+        )
 
     async def _record_drain(
         self,
@@ -233,7 +239,12 @@
         actor: changes.Actor,
         target: draining.DrainTarget,
     ) -> bool:
-        """Keeps the record before the act; returns whether it is kept."""
+        """Writes the audit record of a drain before the drain starts.
+
+        Returns:
+          Whether it was written; False only if the operator allowed a drain
+          without a record.
+        """
         record = audit.AuditRecord(
             change_id=message.change_id,
             action=audit.Action.DRAIN,
@@ -257,14 +268,14 @@
 ) -> web.Response:
     if isinstance(outcome, result.Failure):
         raise _build_refusal(outcome.failure())
-    done = outcome.unwrap()
+    change_outcome = outcome.unwrap()
     return web.json_response(
         {
-            "change_id": done.change_id,
-            "revision": done.revision,
-            "applied": done.applied,
-            "changes": _build_changes(done.changes),
-            "changes_text": diff.format_changes(done.changes),
+            "change_id": change_outcome.change_id,
+            "revision": change_outcome.revision,
+            "applied": change_outcome.applied,
+            "changes": _build_changes(change_outcome.changes),
+            "changes_text": diff.format_changes(change_outcome.changes),
         }
     )
 
@@ -287,8 +298,10 @@
     return errors.ApiError(refusal.failure, details, document)
 
 
-def _build_changes(found: tuple[diff.Change, ...]) -> list[dict[str, Any]]:
-    return [codec.build_change_document(change) for change in found]
+def _build_changes(
+    found_changes: tuple[diff.Change, ...],
+) -> list[dict[str, Any]]:
+    return [codec.build_change_document(change) for change in found_changes]
 
 
 def _build_record_document(record: audit.AuditRecord) -> dict[str, Any]:
@@ -302,12 +315,13 @@
     return moment.isoformat(timespec="seconds")
 
 
-def _refuse_text(found: tuple[Any, ...]) -> errors.ApiError:
+def _refuse_text(catalogue_errors: tuple[Any, ...]) -> errors.ApiError:
     failure = failures.Failure(
-        _Code.INVALID_CATALOGUE, f"the catalogue has {len(found)} errors"
+        _Code.INVALID_CATALOGUE,
+        f"the catalogue has {len(catalogue_errors)} errors",
     )
     return errors.ApiError(
-        failure, tuple(dataclasses.asdict(error) for error in found)
+        failure, tuple(dataclasses.asdict(error) for error in catalogue_errors)
     )
 
 
--- a/rhubarblock/admin/api_test.py
+++ b/rhubarblock/admin/api_test.py
@@ -8,8 +8,8 @@
 from rhubarblock.catalogue import samples_test as samples
 
 
-class Caller:
-    """Sends requests to a served application."""
+class ApiClient:
+    """Sends requests to the administration API."""
 
     def __init__(self, client):
         self._client = client
@@ -23,7 +23,7 @@
     async def post_raw(self, path, content, secret="admin"):
         return await self._call("POST", path, secret, content)
 
-    async def begin(self):
+    async def create_catalogue(self):
         return await self.post(
             "catalogue", "boot", revision=0, text=samples.WHOLE, why="first"
         )
@@ -36,24 +36,24 @@
         return response.status, await response.json()
 
 
-def serve(play):
-    """Runs a play against the application on a real socket."""
+def run_scenario(scenario):
+    """Runs a coroutine function against the API on a real socket."""
 
     async def main():
         parts = fakeparts.FakeParts()
         server = test_utils.TestServer(parts.app)
         async with test_utils.TestClient(server) as client:
-            return await play(Caller(client), parts)
+            return await scenario(ApiClient(client), parts)
 
     return asyncio.run(main())
 
 
-def test_the_first_catalogue_and_its_audit():
-    async def play(caller, parts):
-        made = await caller.begin()
-        return made, await caller.get("audit"), await caller.get("history")
+def test_first_catalogue_is_applied_and_recorded():
+    async def scenario(api, parts):
+        made = await api.create_catalogue()
+        return made, await api.get("audit"), await api.get("history")
 
-    (status, made), (_, audit), (_, history) = serve(play)
+    (status, made), (_, audit), (_, history) = run_scenario(scenario)
     assert status == 200
     assert made["revision"] == 1
     assert made["changes_text"].startswith("+ [institution adwoa]\n")
@@ -74,12 +74,12 @@
     }
 
 
-def test_the_bootstrap_secret_ends_with_the_first_administrator():
-    async def play(caller, parts):
-        await caller.begin()
-        return await caller.begin()
+def test_bootstrap_secret_is_rejected_once_there_is_an_administrator():
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await api.create_catalogue()
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert status == 401
     assert answer == {
         "error": {
@@ -112,79 +112,80 @@
         ("post", "drain"),
     ],
 )
-def test_every_path_needs_an_operator(method, path, secret, status, code):
-    async def play(caller, parts):
-        await caller.begin()
-        return await getattr(caller, method)(path, secret)
+def test_every_path_requires_an_operator(method, path, secret, status, code):
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await getattr(api, method)(path, secret)
 
-    found, answer = serve(play)
+    found, answer = run_scenario(scenario)
     assert (found, answer["error"]["code"]) == (status, code)
 
 
-def test_an_operator_reads_edits_and_sends_its_own_entries():
-    async def play(caller, parts):
-        await caller.begin()
-        _, mine = await caller.get("catalogue", "hofbauer-op")
+def test_operator_reads_and_changes_entries_of_its_institution_only():
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        _, mine = await api.get("catalogue", "hofbauer-op")
         text = mine["text"].replace("class = batch", "class = standard")
-        made = await caller.post(
+        made = await api.post(
             "catalogue", "hofbauer-op", revision=1, text=text, why="w"
         )
-        audit = await caller.get("audit?kind=workspace", "adwoa-op")
+        audit = await api.get("audit?kind=workspace", "adwoa-op")
         return mine, made, audit, parts.in_force
 
-    mine, (status, made), (_, audit), in_force = serve(play)
+    mine, (status, made), (_, audit), in_force = run_scenario(scenario)
     assert "adwoa" not in mine["text"]
     assert (status, made["revision"]) == (200, 2)
     docks = in_force.workspaces["hofbauer/docks"]
     assert docks.request_class.value == "standard"
     assert "adwoa/claims" in in_force.workspaces
-    # The other institution's operator sees only its part of the first change.
+    # The operator of the other institution sees only its own part of the first
+    # change.
     (record,) = audit["audit"]
     names = {change["name"] for change in record["changes"]}
     assert "adwoa/claims" in names
     assert not any("hofbauer" in name for name in names)
 
 
-def test_an_operator_may_not_touch_other_entries():
-    async def play(caller, parts):
-        await caller.begin()
+def test_operator_cannot_change_other_entries():
+    async def scenario(api, parts):
+        await api.create_catalogue()
         text = samples.WHOLE.replace("version = v1", "version = v2")
-        return await caller.post(
+        return await api.post(
             "catalogue", "adwoa-op", revision=1, text=text, why="w"
         )
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert status == 403
     assert {detail["name"] for detail in answer["error"]["details"]} >= {
         "reader"
     }
 
 
-def test_errors_of_the_text_come_with_their_lines():
-    async def play(caller, parts):
+def test_catalogue_errors_name_their_lines():
+    async def scenario(api, parts):
         text = "[place osu]\nregion = !\n"
-        return await caller.post(
+        return await api.post(
             "catalogue", "boot", revision=0, text=text, why="w"
         )
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert status == 422
     assert answer["error"]["code"] == "invalid_catalogue"
     found = [(d["line"], d["field"]) for d in answer["error"]["details"]]
     assert found == [(1, "owner"), (2, "region")]
 
 
-def test_a_conflict_answers_both_sides():
-    async def play(caller, parts):
-        await caller.begin()
+def test_conflict_answers_with_both_changes():
+    async def scenario(api, parts):
+        await api.create_catalogue()
         for version in ("v2", "v3"):
             text = samples.WHOLE.replace("version = v1", f"version = {version}")
-            answer = await caller.post(
+            answer = await api.post(
                 "catalogue", revision=1, text=text, why=version
             )
         return answer
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert status == 409
     conflict = answer["error"]["conflict"]
     fields = [conflict[side][0]["fields"] for side in ("theirs", "yours")]
@@ -195,31 +196,29 @@
     ]
 
 
-def test_a_rollback_and_the_older_catalogue():
-    async def play(caller, parts):
-        await caller.begin()
+def test_rollback_restores_an_older_revision():
+    async def scenario(api, parts):
+        await api.create_catalogue()
         text = samples.WHOLE.replace("version = v1", "version = v2")
-        await caller.post("catalogue", revision=1, text=text, why="w")
-        _, older = await caller.get("catalogue?revision=1")
-        made = await caller.post("rollback", revision=2, to=1, why="back")
-        _, now = await caller.get("catalogue")
-        missing = await caller.get("catalogue?revision=9")
+        await api.post("catalogue", revision=1, text=text, why="w")
+        _, older = await api.get("catalogue?revision=1")
+        made = await api.post("rollback", revision=2, to=1, why="back")
+        _, now = await api.get("catalogue")
+        missing = await api.get("catalogue?revision=9")
         return made, older, now, missing
 
-    (status, made), older, now, (missing, _) = serve(play)
+    (status, made), older, now, (missing, _) = run_scenario(scenario)
     assert (status, made["revision"], missing) == (200, 3, 400)
     assert older["text"] == now["text"]
     assert (older["revision"], now["revision"]) == (1, 3)
 
 
-def test_status_shows_an_operator_its_own_limits():
-    async def play(caller, parts):
-        await caller.begin()
-        return await caller.get("status"), await caller.get(
-            "status", "adwoa-op"
-        )
+def test_status_hides_limits_of_other_institutions_from_an_operator():
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await api.get("status"), await api.get("status", "adwoa-op")
 
-    (_, whole), (_, own) = serve(play)
+    (_, whole), (_, own) = run_scenario(scenario)
     assert [limit["owner"] for limit in whole["limits"]] == [
         "adwoa",
         "hofbauer/docks",
@@ -229,16 +228,16 @@
     assert own["instances"] == whole["instances"]
 
 
-def test_a_drain_is_recorded_and_started():
-    async def play(caller, parts):
-        await caller.begin()
-        drained = await caller.post(
+def test_drain_is_recorded_and_started():
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        drained = await api.post(
             "drain", kind="data_centre", name="osu-hall", why="power"
         )
-        _, audit = await caller.get("audit?action=drain&name=osu-hall")
+        _, audit = await api.get("audit?action=drain&name=osu-hall")
         return drained, audit["audit"], parts.drains.targets
 
-    drained, (record,), targets = serve(play)
+    drained, (record,), targets = run_scenario(scenario)
     assert drained == (
         200,
         {
@@ -255,31 +254,31 @@
     assert targets == ["data_centre osu-hall"]
 
 
-def test_with_the_platform_down_a_drain_needs_a_word():
-    async def play(caller, parts):
-        await caller.begin()
+def test_drain_without_the_platform_must_allow_a_missing_record():
+    async def scenario(api, parts):
+        await api.create_catalogue()
         parts.store.is_down = True
         body = {"kind": "endpoint", "name": "pool-1", "why": "hot"}
-        refused = await caller.post("drain", **body)
-        forced = await caller.post("drain", **body, unrecorded=True)
-        audit = await caller.get("audit")
+        refused = await api.post("drain", **body)
+        forced = await api.post("drain", **body, unrecorded=True)
+        audit = await api.get("audit")
         return refused, forced, audit, parts.drains.targets
 
-    refused, forced, audit, targets = serve(play)
+    refused, forced, audit, targets = run_scenario(scenario)
     assert (refused[0], audit[0]) == (503, 503)
     assert refused[1]["error"]["retry_after_s"] == 5.0
     assert (forced[0], forced[1]["recorded"]) == (200, False)
     assert targets == ["endpoint pool-1"]
 
 
-def test_an_operator_may_not_drain():
-    async def play(caller, parts):
-        await caller.begin()
-        return await caller.post(
+def test_operator_cannot_drain():
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await api.post(
             "drain", "adwoa-op", kind="endpoint", name="pool-1", why="w"
         )
 
-    assert serve(play)[0] == 403
+    assert run_scenario(scenario)[0] == 403
 
 
 @pytest.mark.parametrize(
@@ -309,12 +308,12 @@
         ),
     ],
 )
-def test_bad_bodies_are_refused(path, content, message):
-    async def play(caller, parts):
-        await caller.begin()
-        return await caller.post_raw(path, content)
+def test_invalid_bodies_are_rejected(path, content, message):
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await api.post_raw(path, content)
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert status == 400
     assert answer["error"]["message"].startswith(message)
     assert answer["error"]["verdict"] == "NOT_RUN"
@@ -328,31 +327,29 @@
         ("get", "audit?limit=many", 400),
     ],
 )
-def test_other_mistakes_have_the_same_form(method, path, status):
-    async def play(caller, parts):
-        await caller.begin()
-        return await getattr(caller, method)(path)
+def test_other_client_errors_have_the_error_format(method, path, status):
+    async def scenario(api, parts):
+        await api.create_catalogue()
+        return await getattr(api, method)(path)
 
-    found, answer = serve(play)
+    found, answer = run_scenario(scenario)
     assert found == status
     assert answer["error"]["code"] == "bad_request"
 
 
-def test_a_body_over_the_limit_is_refused():
-    async def play(caller, parts):
-        return await caller.post_raw("catalogue", b"x" * 5_000_000, "boot")
+def test_body_over_the_limit_is_rejected():
+    async def scenario(api, parts):
+        return await api.post_raw("catalogue", b"x" * 5_000_000, "boot")
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert (status, answer["error"]["code"]) == (413, "body_too_large")
 
 
-def test_a_bug_is_an_error_that_may_have_had_effect(monkeypatch):
-    async def play(caller, parts):
-        await caller.begin()
+def test_unexpected_exception_may_have_run(monkeypatch):
+    async def scenario(api, parts):
+        await api.create_catalogue()
         parts.drains.start_drain = None
-        return await caller.post(
-            "drain", kind="endpoint", name="pool-1", why="w"
-        )
+        return await api.post("drain", kind="endpoint", name="pool-1", why="w")
 
-    status, answer = serve(play)
+    status, answer = run_scenario(scenario)
     assert (status, answer["error"]["verdict"]) == (500, "MAY_HAVE_RUN")
--- a/rhubarblock/admin/audittrail.py
+++ b/rhubarblock/admin/audittrail.py
@@ -1,4 +1,4 @@
-"""Filters of the audit trail."""
+"""Selects the records of the audit trail that a request may see."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -10,16 +10,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AuditFilter:
-    """Which records are wanted; empty values let everything pass.
+    """Filter of a query; an empty value matches every record.
 
     Attributes:
       who: name of the credential.
-      action: what was done.
-      kind: kind of an entry that changed.
-      name: name of an entry that changed or was drained.
-      since_s: earliest wall clock, seconds since 1970.
-      until_s: latest wall clock, seconds since 1970; 0 for no bound.
-      limit: most records, the latest first.
+      action: action of the record.
+      kind: kind of an entry that was changed or drained.
+      name: name of an entry that was changed or drained.
+      since_s: earliest time, in seconds since the Unix epoch.
+      until_s: latest time, in seconds since the Unix epoch; 0 for no bound.
+      limit: most records to return, latest first.
     """
 
     who: str = ""
@@ -30,8 +30,8 @@
     until_s: float = 0.0
     limit: int = DEFAULT_LIMIT
 
-    def accepts(self, record: audit.AuditRecord) -> bool:
-        """Says whether a record passes."""
+    def matches(self, record: audit.AuditRecord) -> bool:
+        """Returns whether a record matches; ignores ``limit``."""
         if self.who and record.who != self.who:
             return False
         if self.action and record.action.value != self.action:
@@ -40,37 +40,43 @@
             return False
         if self.until_s and record.when_s > self.until_s:
             return False
-        return self._accepts_entries(record)
+        return self._matches_entries(record)
 
-    def _accepts_entries(self, record: audit.AuditRecord) -> bool:
+    def _matches_entries(self, record: audit.AuditRecord) -> bool:
         if not self.kind and not self.name:
             return True
         kind, _, name = record.target.partition(" ")
-        touched = {(c.kind.value, c.name) for c in record.changes}
-        touched.add((kind, name))
+        affected = {(c.kind.value, c.name) for c in record.changes}
+        affected.add((kind, name))
         return any(
             self.kind in ("", kind) and self.name in ("", name)
-            for kind, name in touched
+            for kind, name in affected
         )
 
 
 def select_records(
-    records: Iterable[audit.AuditRecord], wanted: AuditFilter, institution: str
+    records: Iterable[audit.AuditRecord],
+    audit_filter: AuditFilter,
+    institution: str,
 ) -> list[audit.AuditRecord]:
-    """Returns the records that pass.
+    """Returns the records that match a filter.
 
     Args:
-      records: all records, the latest first.
-      wanted: the filter.
-      institution: institution of an operator, who sees only changes of its
-        own and shared entries; empty for an administrator.
+      records: all records, latest first.
+      audit_filter: filter of the query.
+      institution: institution of an operator, who sees all drains, but only
+        changes to entries of this institution and to shared entries; empty for
+        an administrator, who sees everything.
+
+    Returns:
+      At most ``audit_filter.limit`` records, latest first.
     """
     selected = []
     for record in records:
         visible = _restrict(record, institution)
-        if visible is not None and wanted.accepts(visible):
+        if visible is not None and audit_filter.matches(visible):
             selected.append(visible)
-    return selected[: wanted.limit]
+    return selected[: audit_filter.limit]
 
 
 def _restrict(
--- a/rhubarblock/admin/authentication.py
+++ b/rhubarblock/admin/authentication.py
@@ -1,4 +1,4 @@
-"""Tells which credential of the catalogue sent a request."""
+"""Authenticates operators and administrators by bearer token."""
 
 import hashlib
 import hmac
@@ -10,7 +10,7 @@
 from rhubarblock.core import failure as failures
 
 _SCHEME = "bearer"
-# Name in the audit trail of the secret from the settings.
+# Name under which the audit trail lists the secret from the settings.
 BOOTSTRAP_NAME = "bootstrap"
 
 _Code = failures.FailureCode
@@ -22,17 +22,17 @@
     catalogue: catalogues.Catalogue,
     bootstrap_sha256: str = "",
 ) -> changes.Actor:
-    """Returns the operator or administrator of a request.
+    """Returns the operator or administrator who sent a request.
 
     Args:
-      authorization: value of the header ``Authorization``.
+      authorization: value of the ``Authorization`` header; None if missing.
       catalogue: the catalogue in force.
-      bootstrap_sha256: digest that counts as an administrator's as long as the
-        catalogue names none; empty for none.
+      bootstrap_sha256: SHA-256 hex digest of the secret that acts as
+        administrator until the catalogue has one; empty for none.
 
     Raises:
-      errors.ApiError: UNAUTHENTICATED without a known secret, FORBIDDEN for a
-        caller.
+      errors.ApiError: UNAUTHENTICATED without a known secret, FORBIDDEN for the
+        credential of a caller.
     """
     digest = _digest_secret(authorization)
     is_bootstrap = hmac.compare_digest(digest, bootstrap_sha256)
--- a/rhubarblock/admin/draining.py
+++ b/rhubarblock/admin/draining.py
@@ -1,4 +1,4 @@
-"""Drains that operators order."""
+"""Interface for drains that operators request."""
 
 import abc
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DrainTarget:
-    """What is to be drained."""
+    """The endpoint, instance or data centre to drain."""
 
     kind: DrainKind
     name: str
@@ -27,11 +27,11 @@
 
 
 class DrainControl(abc.ABC):
-    """Starts drains; the daemon implements it."""
+    """Starts drains; implemented by the daemon."""
 
     @abc.abstractmethod
     async def start_drain(self, target: DrainTarget) -> statuses.DrainStatus:
-        """Starts a drain; ordering it again returns its present state.
+        """Starts a drain and returns its present state; idempotent.
 
         Raises:
           failure.FailureError: the target is unknown or cannot be reached.
--- a/rhubarblock/admin/errors.py
+++ b/rhubarblock/admin/errors.py
@@ -1,7 +1,7 @@
 """Errors of the administration API as JSON.
 
-Every error has one form, ``{"error": {...}}``, which says whether the act may
-have taken effect.
+Every error has the format ``{"error": {...}}``; its verdict says whether the
+request may have taken effect.
 """
 
 from collections.abc import Awaitable
@@ -17,16 +17,17 @@
 
 _logger = logging.getLogger(__name__)
 
-# Methods that change nothing, whatever goes wrong.
-_READING_METHODS = ("GET", "HEAD", "OPTIONS")
+# Safe methods in the sense of HTTP: they change no state, so a failed request
+# had no effect.
+_SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 
 
 class ApiError(failures.FailureError):
-    """A failure with details for machines.
+    """A failure with machine-readable details.
 
     Attributes:
       details: JSON values, such as one object for each catalogue error.
-      conflict: both sides of a conflict as a JSON object, or None.
+      conflict: JSON object with both sides of a revision conflict, or None.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
 
 
 def refuse(code: failures.FailureCode, message: str) -> ApiError:
-    """Returns the error of an act that was not begun."""
+    """Returns the error of a request that was rejected before it had effect."""
     return ApiError(failures.Failure(code, message))
 
 
@@ -76,15 +77,15 @@
     )
 
 
-def _translate_http(error: web.HTTPException) -> web.Response:
-    """Gives the library's own refusals (path, method, size) our form."""
+def _respond_http_error(error: web.HTTPException) -> web.Response:
+    """Converts errors that the HTTP library raises (path, method, size)."""
     failure = apierrors.convert_http_error(error)
     return _respond(failures.FailureError(failure), error.status)
 
 
-def _translate_bug(request: web.Request) -> web.Response:
+def _respond_internal_error(request: web.Request) -> web.Response:
     verdict = verdicts.Verdict.MAY_HAVE_RUN
-    if request.method in _READING_METHODS:
+    if request.method in _SAFE_METHODS:
         verdict = verdicts.Verdict.NOT_RUN
     failure = failures.Failure(
         failures.FailureCode.INTERNAL, "unexpected error; see the log", verdict
@@ -99,13 +100,13 @@
 async def answer_errors(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Middleware that turns what a handler raises into the error form."""
+    """Middleware that converts exceptions of handlers to the error format."""
     try:
         return await handler(request)
     except failures.FailureError as error:
         return _respond(error)
     except web.HTTPException as error:
-        return _translate_http(error)
+        return _respond_http_error(error)
     except Exception:
         _logger.exception("unexpected error", extra={"path": request.path})
-        return _translate_bug(request)
+        return _respond_internal_error(request)
--- a/rhubarblock/admin/fakeparts_test.py
+++ b/rhubarblock/admin/fakeparts_test.py
@@ -1,4 +1,4 @@
-"""Providers of the administration API that tests share."""
+"""Fake providers of the administration API, shared by tests."""
 
 from rhubarblock.admin import api
 from rhubarblock.admin import draining
@@ -59,10 +59,13 @@
 
 
 class FakeParts:
-    """The application over a store in memory.
+    """The administration API on a store in memory.
 
     Attributes:
-      in_force: catalogue that the instance has in force.
+      store: the store, which can be made unavailable.
+      drains: records the drains that were started.
+      in_force: catalogue in force.
+      app: the HTTP application.
     """
 
     def __init__(self):
--- a/rhubarblock/admin/messages.py
+++ b/rhubarblock/admin/messages.py
@@ -1,6 +1,6 @@
-"""Bodies of the administration API, read into typed messages.
+"""Typed request messages of the administration API, parsed from JSON.
 
-Unknown and missing fields and wrong types are all reported at once.
+A single error reports all unknown, missing and invalid fields of a body.
 """
 
 import dataclasses
@@ -14,8 +14,8 @@
 from rhubarblock.admin import errors
 from rhubarblock.core import failure as failures
 
-# Most characters of the fields that end up in the audit trail.
-_MAX_CHARACTERS = types.MappingProxyType(
+# Maximum length in characters of the fields that the audit trail stores.
+_MAX_LENGTHS = types.MappingProxyType(
     {"why": 1000, "change_id": 64, "name": 200}
 )
 
@@ -29,11 +29,12 @@
     """Body of ``POST /admin/v1/catalogue``.
 
     Attributes:
-      revision: revision that the text was made from.
-      text: the catalogue as an INI file.
-      why: the reason.
-      dry_run: whether to check only.
-      change_id: id of the change; sending it again changes nothing twice.
+      revision: revision on which the text is based.
+      text: the catalogue in INI format.
+      why: reason for the change.
+      dry_run: whether to validate only.
+      change_id: idempotency key of the change; a repeated request with it is
+        applied only once.
     """
 
     revision: int
@@ -48,10 +49,10 @@
     """Body of ``POST /admin/v1/rollback``.
 
     Attributes:
-      revision: revision in force as the operator knows it.
-      to: revision whose content is wanted.
-      why: the reason.
-      dry_run: whether to check only.
+      revision: revision that the operator expects to be in force.
+      to: revision whose content is restored.
+      why: reason for the rollback.
+      dry_run: whether to validate only.
       change_id: as in ``ApplyMessage``.
     """
 
@@ -68,10 +69,10 @@
 
     Attributes:
       kind: ``endpoint``, ``instance`` or ``data_centre``.
-      name: what to drain.
-      why: the reason.
-      unrecorded: drain even when the platform cannot keep the audit record.
-      change_id: id of the act in the audit trail.
+      name: name of the endpoint, instance or data centre.
+      why: reason for the drain.
+      unrecorded: drain even if the platform cannot store the audit record.
+      change_id: id of the drain in the audit trail.
     """
 
     kind: str
@@ -89,14 +90,14 @@
 
 
 def parse_message(body: bytes, message_type: type[Message]) -> Message:
-    """Reads a body.
+    """Parses and validates a request body.
 
     Args:
-      body: JSON as it came.
-      message_type: the message that it should be.
+      body: JSON as received.
+      message_type: message class to parse it into.
 
     Raises:
-      errors.ApiError: BAD_REQUEST with one detail for each field.
+      errors.ApiError: BAD_REQUEST with one detail for each invalid field.
     """
     document = _load_json(body)
     if not isinstance(document, dict):
@@ -125,7 +126,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class FieldFault:
-    """What is wrong with one field of a body."""
+    """A validation error of one field of a body."""
 
     field: str
     message: str
@@ -155,22 +156,22 @@
     return field.default is missing and field.default_factory is missing
 
 
-def _check_value(name: str, value: Any, wanted: Any) -> list[FieldFault]:
-    # True is an int for isinstance, so the exact type is compared.
-    if type(value) is not wanted:
-        return [FieldFault(name, f"must be a {_TYPE_NAMES[wanted]}")]
-    if wanted is int and value < 0:
+def _check_value(name: str, value: Any, expected_type: Any) -> list[FieldFault]:
+    # bool is a subclass of int, so isinstance would accept True as a number.
+    if type(value) is not expected_type:
+        return [FieldFault(name, f"must be a {_TYPE_NAMES[expected_type]}")]
+    if expected_type is int and value < 0:
         return [FieldFault(name, "must not be negative")]
-    if wanted is str:
+    if expected_type is str:
         return _check_text(name, value)
     return []
 
 
 def _check_text(name: str, value: str) -> list[FieldFault]:
-    most = _MAX_CHARACTERS.get(name)
-    if most is None:
+    max_length = _MAX_LENGTHS.get(name)
+    if max_length is None:
         return []
-    if not 0 < len(value.strip()) <= most or not value.isprintable():
-        message = f"must have 1 to {most} printable characters"
+    if not 0 < len(value.strip()) <= max_length or not value.isprintable():
+        message = f"must have 1 to {max_length} printable characters"
         return [FieldFault(name, message)]
     return []
--- a/rhubarblock/admin/status.py
+++ b/rhubarblock/admin/status.py
@@ -1,7 +1,7 @@
-"""What the administration API tells about the fleet.
+"""Status of the fleet as reported by the administration API.
 
-The daemon fills these messages from membership, endpoints, limits and
-quarantine; the API only filters and sends them.
+The daemon builds these messages from membership, endpoints, limits and
+quarantine; the API only filters and serialises them.
 """
 
 import abc
@@ -11,15 +11,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class InstanceStatus:
-    """One entry instance as the answering one sees it.
+    """One entry instance as seen by the instance that answers.
 
     Attributes:
       instance_id: its name.
-      data_centre: where it runs.
-      state: state of its life or of its membership.
-      revision: catalogue revision that it has in force; 0 when unknown.
-      in_flight: requests in flight; None when unknown.
-      heard_s: seconds since it was last heard of; 0 for itself.
+      data_centre: data centre in which it runs.
+      state: lifecycle state for the answering instance, otherwise membership
+        state.
+      revision: catalogue revision in force there; 0 if unknown.
+      in_flight: requests in flight; None if unknown.
+      heard_s: seconds since it was last known to be alive; 0 for the answering
+        instance.
     """
 
     instance_id: str
@@ -32,19 +34,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EndpointStatus:
-    """One endpoint as the answering instance sees it.
+    """One endpoint as seen by the instance that answers.
 
     Attributes:
       endpoint_id: its name.
-      service: service that it belongs to.
-      data_centre: where it runs.
-      state: state of its life.
-      role: role in force; empty for plain services.
-      models: models loaded.
-      running: requests that hold memory.
-      waiting: requests that wait for memory.
+      service: service to which it belongs.
+      data_centre: data centre in which it runs.
+      state: its lifecycle state.
+      role: its current role; empty for plain services.
+      models: loaded models.
+      running: requests that hold KV memory.
+      waiting: requests that wait for KV memory.
       kv_used: KV memory in use, in tokens.
-      kv_capacity: KV memory, in tokens.
+      kv_capacity: total KV memory, in tokens.
     """
 
     endpoint_id: str
@@ -64,11 +66,11 @@
     """One limit and its use over all instances, as far as known.
 
     Attributes:
-      owner: institution or workspace, as named in the catalogue.
+      owner: name of the institution or workspace in the catalogue.
       limit: name of the limit, such as ``tokens_per_s``.
-      allowed: agreed upper bound; 0 means unlimited.
-      used: present use in the same unit.
-      share: part of the bound that the answering instance may give out.
+      allowed: upper bound; 0 means unlimited.
+      used: present use, in the unit of the limit.
+      share: part of the bound that the answering instance may admit.
     """
 
     owner: str
@@ -80,12 +82,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class QuarantineStatus:
-    """A request body that is not run any more.
+    """A quarantined request body, which is rejected until the quarantine ends.
 
     Attributes:
       digest: digest of the body.
-      institution: whose request it was.
-      crashes: endpoints that it is said to have crashed.
+      institution: institution that sent the request.
+      crashes: number of endpoint crashes attributed to it.
       ends_in_s: seconds until it may run again.
     """
 
@@ -97,13 +99,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DrainStatus:
-    """A drain that was ordered.
+    """A drain that an operator requested.
 
     Attributes:
       kind: ``endpoint``, ``instance`` or ``data_centre``.
-      name: what is drained.
+      name: name of what is drained.
       state: ``draining`` or ``drained``.
-      in_flight: requests that it still has; None when unknown.
+      in_flight: its requests in flight; None if unknown.
     """
 
     kind: str
@@ -114,7 +116,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class FleetStatus:
-    """Everything at one moment, as the answering instance sees it."""
+    """Snapshot of the fleet as seen by the instance that answers."""
 
     instance_id: str
     revision: int
@@ -126,19 +128,20 @@
 
 
 class StatusSource(abc.ABC):
-    """Where the administration API learns the state of the fleet."""
+    """Provides the status of the fleet; implemented by the daemon."""
 
     @abc.abstractmethod
     async def collect_status(self) -> FleetStatus:
-        """Returns the state of the fleet as this instance sees it."""
+        """Returns the status of the fleet as seen by this instance."""
 
 
 def restrict(status: FleetStatus, institution: str) -> FleetStatus:
-    """Leaves out what belongs to other institutions.
+    """Returns the status without data of other institutions.
 
     Args:
-      status: the whole state.
-      institution: institution of an operator; empty for an administrator.
+      status: the complete status.
+      institution: institution of an operator; empty for an administrator, who
+        sees everything.
     """
     if not institution:
         return status
@@ -159,5 +162,5 @@
 
 
 def build_document(status: FleetStatus) -> dict[str, Any]:
-    """Returns the state as plain JSON values."""
+    """Returns the status as plain JSON values."""
     return dataclasses.asdict(status)
