--- a/rhubarblock/catalogue/__init__.py
+++ b/rhubarblock/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The catalogue: entries, validation, distribution, revisions."""
+"""The catalogue: its entries, their validation, storage and revisions."""
--- a/rhubarblock/catalogue/archive.py
+++ b/rhubarblock/catalogue/archive.py
@@ -1,9 +1,10 @@
-"""Older revisions and their audit records in the platform.
+"""Stores older revisions and their audit records in the platform.
 
-Both lie in rings of slots: revision ``n`` in slot ``n`` modulo the size of the
-ring. The space is bounded without any deletion, and one listing shows the
-whole audit trail. Contents are kept apart from records, because a listing of
-whole catalogues would be large.
+Both are kept in ring buffers of objects: revision ``n`` takes slot ``n`` modulo
+the number of slots. This bounds the space without deletions, and one listing
+returns the whole audit trail. Contents and audit records have separate rings,
+because a listing that includes whole catalogues would be large. A third ring
+holds the records of actions that create no revision, such as drains.
 """
 
 import asyncio
@@ -18,26 +19,28 @@
 CURRENT_OBJECT = "catalogue/current"
 AUDIT_PREFIX = "audit/"
 HISTORY_PREFIX = "catalogue-history/"
-ACT_PREFIX = "audit-acts/"
+ACTION_PREFIX = "audit-acts/"
 
-# Slots of each ring: records are small, contents are whole catalogues.
+# Number of slots per ring. The history ring has the fewest because each slot
+# holds a whole catalogue.
 AUDIT_SLOTS = 1024
 HISTORY_SLOTS = 64
-ACT_SLOTS = 256
+ACTION_SLOTS = 256
 
-_WRITE_ATTEMPTS = 4
+_MAX_WRITE_ATTEMPTS = 4
 _Kind = stores.StoreErrorKind
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Accepted:
-    """An accepted catalogue as the platform holds it.
+    """An accepted catalogue as stored in the platform.
 
     Attributes:
-      catalogue: the catalogue.
-      record: the change that made it; None for the empty one.
-      version: version of the platform's object; NOWHERE when there is none.
-      content: the object's bytes.
+      catalogue: the decoded catalogue.
+      record: audit record of the change that created it; None for the empty
+        catalogue.
+      version: version of the stored object; NOWHERE if there is none.
+      content: the stored bytes.
     """
 
     catalogue: catalogues.Catalogue
@@ -50,20 +53,20 @@
 
 
 def name_audit_slot(revision: int) -> str:
-    """Returns the object that holds the record of a revision."""
+    """Returns the name of the object for a revision's audit record."""
     return f"{AUDIT_PREFIX}{revision % AUDIT_SLOTS:04d}"
 
 
 def name_history_slot(revision: int) -> str:
-    """Returns the object that holds the content of a revision."""
+    """Returns the name of the object for a revision's content."""
     return f"{HISTORY_PREFIX}{revision % HISTORY_SLOTS:04d}"
 
 
 class Archive:
-    """Reads and keeps accepted catalogues and audit records.
+    """Reads and writes accepted catalogues and audit records.
 
-    Methods raise ``store.StoreError``, and ``codec.CodecError`` where an
-    object cannot be understood.
+    Methods raise ``store.StoreError`` if a call to the store fails, and
+    ``codec.CodecError`` if a stored object cannot be decoded.
     """
 
     __slots__ = ("_store",)
@@ -72,7 +75,7 @@
         self._store = store
 
     async def read_current(self) -> Accepted:
-        """Returns the catalogue accepted last; the empty one if none."""
+        """Returns the latest accepted catalogue, or ``EMPTY`` if none."""
         try:
             stored = await self._store.read(CURRENT_OBJECT)
         except stores.StoreError as error:
@@ -84,7 +87,7 @@
     async def read_catalogue(
         self, revision: int
     ) -> catalogues.Catalogue | None:
-        """Returns an older catalogue, or None when it is not kept."""
+        """Returns the catalogue of a revision, or None if no longer stored."""
         if revision == 0:
             return catalogues.Catalogue()
         stored = await self._read_slot(name_history_slot(revision))
@@ -94,7 +97,7 @@
         return catalogue if catalogue.revision == revision else None
 
     async def read_record(self, revision: int) -> audit.AuditRecord | None:
-        """Returns the record of an older revision, or None if not kept."""
+        """Returns the record of a revision, or None if no longer stored."""
         stored = await self._read_slot(name_audit_slot(revision))
         if stored is None:
             return None
@@ -102,13 +105,13 @@
         return record if record.revision == revision else None
 
     async def list_records(self) -> list[audit.AuditRecord]:
-        """Returns all records that are kept, the latest first."""
-        current, changes, acts = await asyncio.gather(
+        """Returns all stored audit records, latest first."""
+        current, changes, actions = await asyncio.gather(
             self.read_current(),
             self._store.list_objects(AUDIT_PREFIX),
-            self._store.list_objects(ACT_PREFIX),
+            self._store.list_objects(ACTION_PREFIX),
         )
-        stored = (*changes.objects, *acts.objects)
+        stored = (*changes.objects, *actions.objects)
         records = {
             record.change_id: record
             for record in (codec.decode_record(s.value) for s in stored)
@@ -118,33 +121,33 @@
         ordered = sorted(records.values(), key=lambda r: (r.revision, r.when_s))
         return ordered[::-1]
 
-    async def keep(self, accepted: Accepted) -> None:
-        """Makes sure that a revision and its record are in the rings.
+    async def store_revision(self, accepted: Accepted) -> None:
+        """Writes a revision and its audit record to the rings.
 
-        It is called before the next revision takes the place of this one, and
-        repeating it is harmless: the content of a revision never changes.
+        Must be called before the next revision replaces this one. The call is
+        idempotent, because the content of a revision never changes.
 
         Args:
-          accepted: the revision to keep.
+          accepted: the revision to store.
         """
         if accepted.record is None:
             return
         revision = accepted.catalogue.revision
         record = codec.encode_record(accepted.record)
-        await self._fill_slot(name_audit_slot(revision), record, revision)
-        await self._fill_slot(
+        await self._write_slot(name_audit_slot(revision), record, revision)
+        await self._write_slot(
             name_history_slot(revision), accepted.content, revision
         )
 
     async def add_act(self, record: audit.AuditRecord) -> None:
-        """Keeps the record of an act that makes no revision.
+        """Stores the record of an action that creates no revision.
 
         Args:
-          record: what to keep; sending the same one again is harmless.
+          record: the record to store; storing it again is idempotent.
         """
-        for _ in range(_WRITE_ATTEMPTS):
-            page = await self._store.list_objects(ACT_PREFIX)
-            slot = _choose_act_slot(page, record)
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            page = await self._store.list_objects(ACTION_PREFIX)
+            slot = _find_action_slot(page, record)
             if slot is None:
                 return
             try:
@@ -165,15 +168,15 @@
                 return None
             raise
 
-    async def _fill_slot(
+    async def _write_slot(
         self, name: str, content: bytes, revision: int
     ) -> None:
-        """Writes a slot unless it holds this revision or a later one."""
-        for _ in range(_WRITE_ATTEMPTS):
-            present = await self._read_slot(name)
-            if present and codec.decode_revision(present.value) >= revision:
+        """Writes a slot unless it holds the same or a later revision."""
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            stored = await self._read_slot(name)
+            if stored and codec.decode_revision(stored.value) >= revision:
                 return
-            version = present.version if present else positions.NOWHERE
+            version = stored.version if stored else positions.NOWHERE
             try:
                 await self._store.write(name, content, version)
                 return
@@ -194,25 +197,25 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Slot:
-    """A place for an act: its name and present version."""
+    """A slot that can be overwritten: its name and stored version."""
 
     name: str
     version: positions.Position
 
 
-def _choose_act_slot(
+def _find_action_slot(
     page: stores.Page, record: audit.AuditRecord
 ) -> _Slot | None:
-    """Returns a free slot or the oldest; None if the record is there."""
-    taken = {}
+    """Returns a free slot, else the oldest; None if the record is stored."""
+    occupied = {}
     for stored in page.objects:
-        present = codec.decode_record(stored.value)
-        if present.change_id == record.change_id:
+        stored_record = codec.decode_record(stored.value)
+        if stored_record.change_id == record.change_id:
             return None
-        taken[stored.name] = (present.when_s, stored)
-    for number in range(ACT_SLOTS):
-        name = f"{ACT_PREFIX}{number:04d}"
-        if name not in taken:
+        occupied[stored.name] = (stored_record.when_s, stored)
+    for number in range(ACTION_SLOTS):
+        name = f"{ACTION_PREFIX}{number:04d}"
+        if name not in occupied:
             return _Slot(name, positions.NOWHERE)
-    _, oldest = min(taken.values(), key=lambda item: item[0])
+    _, oldest = min(occupied.values(), key=lambda item: item[0])
     return _Slot(oldest.name, oldest.version)
--- a/rhubarblock/catalogue/audit.py
+++ b/rhubarblock/catalogue/audit.py
@@ -1,4 +1,4 @@
-"""The audit record: who changed what, when and why."""
+"""Audit records: who changed what, when and why."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Action(enum.Enum):
-    """What an operator did."""
+    """Kind of action taken by an operator."""
 
     APPLY = "apply"
     ROLLBACK = "rollback"
@@ -16,17 +16,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AuditRecord:
-    """One accepted act of an operator.
+    """One accepted action of an operator.
 
     Attributes:
-      change_id: unique id of the act; the same when it is sent again.
-      action: what was done.
-      who: name of the credential.
-      when_s: wall clock in seconds since 1970.
+      change_id: unique id of the action; a retry uses the same id.
+      action: kind of the action.
+      who: name of the operator's credential.
+      when_s: time of the action, in seconds since the epoch.
       why: the operator's reason.
-      revision: revision that it made, or that was in force.
-      changes: what changed from what to what.
-      target: what was drained or the revision rolled back to, else empty.
+      revision: revision created by the action, or in force at the time if it
+        created none.
+      changes: changed entries with their values before and after.
+      target: the drained endpoint, instance or data centre, or the revision
+        rolled back to; else empty.
     """
 
     change_id: str
--- a/rhubarblock/catalogue/changes.py
+++ b/rhubarblock/catalogue/changes.py
@@ -1,10 +1,11 @@
-"""Changes of the catalogue: checked whole, conditional, recorded.
+"""Validates, commits and audits changes of the catalogue.
 
 The object ``catalogue/current`` holds the catalogue and the audit record of
-the change that made it, so one conditional update accepts both or neither.
-Before a revision is replaced, it and its record are kept in the archive; a
-change that dies in between leaves this step to the next one. A write whose
-answer was lost is read back and told apart by the id of the change.
+the change that created it, so one conditional write commits both or neither.
+Before a revision is replaced, it and its record are copied to the archive. If
+the instance crashes between the copy and the write, the next change repeats the
+copy. A write that got no response is read back; the change id in the record
+shows whether the write took effect.
 """
 
 from collections.abc import Callable
@@ -26,20 +27,22 @@
 from rhubarblock.kernel import timers as timers_lib
 from rhubarblock.store import store as stores
 
-# How often an unsure write is tried and read back, and how long between.
+# Attempts to write a change and, if the outcome is unknown, to read it back.
 COMMIT_ATTEMPTS = 6
+# Backoff in seconds before the second attempt; it grows linearly.
 COMMIT_PAUSE_S = 0.2
+# Retry-After in seconds if the platform is unavailable or does not confirm.
 RETRY_AFTER_S = 5.0
 
 _Code = failures.FailureCode
 _Kind = stores.StoreErrorKind
-# Answers after which it is known that a write had no effect.
-_REFUSED_KINDS = (_Kind.UNAVAILABLE, _Kind.RATE_LIMITED)
+# Store errors that mean that a write did not take effect.
+_NO_EFFECT_KINDS = (_Kind.UNAVAILABLE, _Kind.RATE_LIMITED)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Actor:
-    """Who asks for a change.
+    """The operator or administrator who requests a change.
 
     Attributes:
       name: name of the credential.
@@ -52,17 +55,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ChangeRequest:
-    """A change that an operator asks for.
+    """A requested change of the catalogue.
 
     Attributes:
-      change_id: unique id; a change that is sent again has the same one and
-        takes effect once.
-      actor: who asks.
+      change_id: unique id and idempotency key: a retry uses the same id, and
+        the change takes effect once.
+      actor: who requests the change.
       why: the reason, for the audit trail.
-      revision: revision that the operator changed; another in force by now is
-        a conflict.
-      proposed: the catalogue as it should be.
-      dry_run: whether to check only.
+      revision: revision that the change is based on; a conflict is reported if
+        another revision is in force.
+      proposed: the proposed catalogue.
+      dry_run: whether to validate only.
     """
 
     change_id: str
@@ -75,15 +78,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RollbackRequest:
-    """A return to the content of an older revision, as a new revision.
+    """A request to restore an older revision's content as a new revision.
 
     Attributes:
       change_id: as in ``ChangeRequest``.
-      actor: who asks.
-      why: the reason.
-      revision: revision in force as the operator knows it.
-      target: revision whose content is wanted.
-      dry_run: whether to check only.
+      actor: who requests the rollback.
+      why: the reason, for the audit trail.
+      revision: revision that the operator expects to be in force.
+      target: revision whose content is restored.
+      dry_run: whether to validate only.
     """
 
     change_id: str
@@ -96,13 +99,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ChangeOutcome:
-    """An accepted change, or one that would be.
+    """The result of a valid change.
 
     Attributes:
       change_id: id of the change.
-      revision: revision that it made; the one in force if nothing was written.
-      applied: whether it was written; False for a dry run or no difference.
-      changes: what it changed.
+      revision: revision created by the change; the revision in force if nothing
+        was written.
+      applied: whether the change was written; False for a dry run and for a
+        change without any difference.
+      changes: the changed entries.
     """
 
     change_id: str
@@ -113,15 +118,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Conflict:
-    """Both sides of a change that came too late.
+    """Both sides of a change that is based on an outdated revision.
 
     Attributes:
       revision: revision in force.
-      record: the change that made it.
-      theirs: what changed since the operator's revision; None when that one
-        is no longer kept.
-      yours: what the operator wanted to change, against the same revision, or
-        against the one in force when it is no longer kept.
+      record: audit record of the change that created it; None for the empty
+        catalogue and for operators, who may not see it.
+      theirs: changes between the requested base revision and the one in force;
+        None if the base revision is no longer stored.
+      yours: changes in the request relative to its base revision, or to the
+        revision in force if the base is no longer stored.
     """
 
     revision: int
@@ -132,12 +138,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Refusal:
-    """Why a change was not made.
+    """Why a change was refused.
 
     Attributes:
-      failure: code, message and whether it may have been made after all.
-      errors: errors of the catalogue.
-      conflict: both sides of a conflict.
+      failure: code, message, and verdict on whether the change may have taken
+        effect.
+      errors: validation errors of the catalogue.
+      conflict: both sides of a conflict; None for other refusals.
     """
 
     failure: failures.Failure
@@ -149,8 +156,15 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Step:
-    """One change on its way: what it starts from and what it makes."""
+class _PendingChange:
+    """A validated change that has not been committed yet.
+
+    Attributes:
+      request: the request for the change.
+      base: the accepted catalogue that the change replaces.
+      catalogue: the new catalogue.
+      record: audit record of the change.
+    """
 
     request: ChangeRequest
     base: archives.Accepted
@@ -163,7 +177,7 @@
 
 
 class ChangeService:
-    """Makes changes of the catalogue through the platform."""
+    """Applies changes of the catalogue to the platform's store."""
 
     __slots__ = (
         "archive",
@@ -185,9 +199,9 @@
         Args:
           store: the platform's object API.
           timers: the timer service.
-          get_known_revision: returns the revision in force at this instance; a
-            platform that answers with an older one is not believed.
-          on_accepted: is given each catalogue accepted here.
+          get_known_revision: returns the revision in force at this instance;
+            responses of the platform with an older revision are rejected.
+          on_accepted: called with each catalogue that this service committed.
         """
         self.archive = archives.Archive(store)
         self._store = store
@@ -196,18 +210,18 @@
         self._on_accepted = on_accepted
 
     async def apply(self, request: ChangeRequest) -> Outcome:
-        """Makes a change, or says all that speaks against it."""
+        """Applies a change, or returns every error that prevents it."""
         try:
             return await self._apply(request, audit.Action.APPLY, "")
         except (stores.StoreError, codec.CodecError) as error:
-            return result.Failure(_refuse_platform(error))
+            return result.Failure(_make_platform_refusal(error))
 
     async def roll_back(self, request: RollbackRequest) -> Outcome:
-        """Makes a new revision with the content of an older one."""
+        """Creates a new revision with the content of an older one."""
         try:
             return await self._roll_back(request)
         except (stores.StoreError, codec.CodecError) as error:
-            return result.Failure(_refuse_platform(error))
+            return result.Failure(_make_platform_refusal(error))
 
     async def _roll_back(self, request: RollbackRequest) -> Outcome:
         current = await self.archive.read_current()
@@ -224,7 +238,7 @@
             request.actor,
             request.why,
             request.revision,
-            scope.replace_own(
+            scope.replace_institution_entries(
                 current.catalogue, old, request.actor.institution
             ),
             request.dry_run,
@@ -237,21 +251,23 @@
         self, request: ChangeRequest, action: audit.Action, target: str
     ) -> Outcome:
         base = await self.archive.read_current()
-        self._check_believable(base)
-        done = await self._find_record(request, base)
-        if done is not None:
-            return result.Success(_describe_done(done))
+        self._check_revision_current(base)
+        own_record = await self._find_own_record(request, base)
+        if own_record is not None:
+            return result.Success(_make_outcome(own_record))
         if base.catalogue.revision != request.revision:
-            return result.Failure(await self._refuse_late(request, base))
+            return result.Failure(
+                await self._make_conflict_refusal(request, base)
+            )
         merged = scope.merge(
             base.catalogue, request.proposed, request.actor.institution
         )
         if isinstance(merged, result.Failure):
-            return result.Failure(_refuse_foreign(merged.failure()))
+            return result.Failure(_make_forbidden_refusal(merged.failure()))
         proposed = merged.unwrap()
         errors = self._validate(base.catalogue, proposed)
         if errors:
-            return result.Failure(_refuse_invalid(errors))
+            return result.Failure(_make_invalid_refusal(errors))
         changes = tuple(diff.compare(base.catalogue, proposed))
         if request.dry_run or not changes:
             return result.Success(
@@ -262,27 +278,30 @@
                     changes,
                 )
             )
-        step = self._prepare(request, base, proposed, action, target)
-        await self.archive.keep(base)
-        return await self._commit(step)
+        pending = self._make_pending_change(
+            request, base, proposed, action, target
+        )
+        await self.archive.store_revision(base)
+        return await self._commit(pending)
 
-    def _check_believable(self, base: archives.Accepted) -> None:
-        known = self._get_known_revision()
-        if base.catalogue.revision < known:
+    def _check_revision_current(self, base: archives.Accepted) -> None:
+        """Raises if the platform returned a stale catalogue."""
+        known_revision = self._get_known_revision()
+        if base.catalogue.revision < known_revision:
             raise stores.StoreError(
                 _Kind.UNAVAILABLE,
                 f"the platform answered with revision "
-                f"{base.catalogue.revision}, but {known} is in force",
+                f"{base.catalogue.revision}, but {known_revision} is in force",
             )
 
-    async def _find_record(
+    async def _find_own_record(
         self, request: ChangeRequest, current: archives.Accepted
     ) -> audit.AuditRecord | None:
-        """Returns the record of this very change if it was accepted."""
-        made = request.revision + 1
+        """Returns this change's record if an earlier attempt committed it."""
+        created_revision = request.revision + 1
         record = current.record
-        if current.catalogue.revision > made:
-            record = await self.archive.read_record(made)
+        if current.catalogue.revision > created_revision:
+            record = await self.archive.read_record(created_revision)
         if record is not None and record.change_id == request.change_id:
             return record
         return None
@@ -298,14 +317,14 @@
             *validation.validate(after),
         )
 
-    def _prepare(
+    def _make_pending_change(
         self,
         request: ChangeRequest,
         base: archives.Accepted,
         proposed: catalogues.Catalogue,
         action: audit.Action,
         target: str,
-    ) -> _Step:
+    ) -> _PendingChange:
         revision = base.catalogue.revision + 1
         record = audit.AuditRecord(
             change_id=request.change_id,
@@ -318,64 +337,70 @@
             target=target,
         )
         catalogue = dataclasses.replace(proposed, revision=revision)
-        return _Step(request, base, catalogue, record)
+        return _PendingChange(request, base, catalogue, record)
 
-    async def _commit(self, step: _Step) -> Outcome:
-        """Writes until it is known whether the change was accepted."""
-        unsure = False
+    async def _commit(self, pending: _PendingChange) -> Outcome:
+        """Retries the write until its outcome is known or attempts run out."""
+        may_have_applied = False
         for attempt in range(COMMIT_ATTEMPTS):
             if attempt:
                 await self._timers.sleep(COMMIT_PAUSE_S * attempt)
             try:
                 await self._store.write(
-                    archives.CURRENT_OBJECT, step.content, step.base.version
+                    archives.CURRENT_OBJECT,
+                    pending.content,
+                    pending.base.version,
                 )
-                return self._accept(step)
+                return self._accept(pending)
             except stores.StoreError as error:
                 if error.kind is _Kind.TOO_LARGE:
-                    return result.Failure(_refuse_size(step))
-                unsure = unsure or error.kind is _Kind.UNSURE
-                if error.kind in _REFUSED_KINDS and not unsure:
+                    return result.Failure(_make_size_refusal(pending))
+                may_have_applied = (
+                    may_have_applied or error.kind is _Kind.UNSURE
+                )
+                if error.kind in _NO_EFFECT_KINDS and not may_have_applied:
                     continue
-            known = await self._resolve(step)
-            if known is not None:
-                return known
-        return result.Failure(_refuse_unresolved(step, unsure))
+            outcome = await self._read_back(pending)
+            if outcome is not None:
+                return outcome
+        return result.Failure(
+            _make_unresolved_refusal(pending, may_have_applied)
+        )
 
-    async def _resolve(self, step: _Step) -> Outcome | None:
-        """Reads back; returns None while it is not known how it ended."""
+    async def _read_back(self, pending: _PendingChange) -> Outcome | None:
+        """Reads back a write; returns None if its outcome is still unknown."""
         try:
             current = await self.archive.read_current()
-            if current.version <= step.base.version:
+            if current.version <= pending.base.version:
                 return None
-            if await self._find_record(step.request, current):
-                return self._accept(step)
-            # The base was replaced by another change, so ours, which asks for
-            # the version of the base, can never take effect.
+            if await self._find_own_record(pending.request, current):
+                return self._accept(pending)
+            # Another change replaced the base. The write of this change expects
+            # the version of the base, so it can no longer take effect.
             return result.Failure(
-                await self._refuse_late(step.request, current)
+                await self._make_conflict_refusal(pending.request, current)
             )
         except (stores.StoreError, codec.CodecError):
             return None
 
-    def _accept(self, step: _Step) -> Outcome:
+    def _accept(self, pending: _PendingChange) -> Outcome:
         if self._on_accepted is not None:
-            self._on_accepted(step.catalogue)
-        return result.Success(_describe_done(step.record))
+            self._on_accepted(pending.catalogue)
+        return result.Success(_make_outcome(pending.record))
 
-    async def _refuse_late(
+    async def _make_conflict_refusal(
         self, request: ChangeRequest, current: archives.Accepted
     ) -> Refusal:
-        """Returns a conflict with both sides, as far as the actor sees them."""
+        """Returns a conflict with the changes that the actor may see."""
         institution = request.actor.institution
-        now = scope.restrict(current.catalogue, institution)
+        visible_current = scope.restrict(current.catalogue, institution)
         base = await self.archive.read_catalogue(request.revision)
         theirs = None
-        start = now
+        reference = visible_current
         if base is not None:
-            start = scope.restrict(base, institution)
-            theirs = tuple(diff.compare(start, now))
-        yours = tuple(diff.compare(start, request.proposed))
+            reference = scope.restrict(base, institution)
+            theirs = tuple(diff.compare(reference, visible_current))
+        yours = tuple(diff.compare(reference, request.proposed))
         revision = current.catalogue.revision
         record = None if institution else current.record
         return Refusal(
@@ -383,32 +408,34 @@
                 _Code.REVISION_CONFLICT,
                 f"the change is against revision {request.revision}, but "
                 f"{revision} is in force",
-                await self._judge_late(request, revision),
+                await self._find_conflict_verdict(request, revision),
             ),
             conflict=Conflict(revision, record, theirs, yours),
         )
 
-    async def _judge_late(
+    async def _find_conflict_verdict(
         self, request: ChangeRequest, revision: int
     ) -> verdicts.Verdict:
-        """Returns the verdict of a change that is not the one in force.
+        """Returns the verdict on a change whose base revision was replaced.
 
-        When the record of the revision that it would have made is no longer
-        kept, nobody can tell whether that was this change sent earlier.
+        If the record of the revision after the base is no longer stored, an
+        earlier attempt of the same change may have created that revision.
         """
-        made = request.revision + 1
-        if made >= revision or await self.archive.read_record(made):
+        created_revision = request.revision + 1
+        if created_revision >= revision or await self.archive.read_record(
+            created_revision
+        ):
             return verdicts.Verdict.NOT_RUN
         return verdicts.Verdict.MAY_HAVE_RUN
 
 
-def _describe_done(record: audit.AuditRecord) -> ChangeOutcome:
+def _make_outcome(record: audit.AuditRecord) -> ChangeOutcome:
     return ChangeOutcome(
         record.change_id, record.revision, True, record.changes
     )
 
 
-def _refuse_platform(error: Exception) -> Refusal:
+def _make_platform_refusal(error: Exception) -> Refusal:
     return Refusal(
         failures.Failure(
             _Code.PLATFORM_UNAVAILABLE,
@@ -418,35 +445,39 @@
     )
 
 
-def _refuse_foreign(errors: tuple[faults.CatalogueError, ...]) -> Refusal:
+def _make_forbidden_refusal(
+    errors: tuple[faults.CatalogueError, ...],
+) -> Refusal:
     message = "the change touches what this credential may not change"
     return Refusal(failures.Failure(_Code.FORBIDDEN, message), errors)
 
 
-def _refuse_invalid(errors: tuple[faults.CatalogueError, ...]) -> Refusal:
+def _make_invalid_refusal(errors: tuple[faults.CatalogueError, ...]) -> Refusal:
     message = f"the catalogue has {len(errors)} errors"
     if len(errors) == 1:
         message = f"the catalogue has an error: {errors[0]}"
     return Refusal(failures.Failure(_Code.INVALID_CATALOGUE, message), errors)
 
 
-def _refuse_size(step: _Step) -> Refusal:
+def _make_size_refusal(pending: _PendingChange) -> Refusal:
     message = (
-        f"the catalogue has {len(step.content)} bytes; the platform holds "
+        f"the catalogue has {len(pending.content)} bytes; the platform holds "
         f"{stores.VALUE_LIMIT}"
     )
     return Refusal(failures.Failure(_Code.INVALID_CATALOGUE, message))
 
 
-def _refuse_unresolved(step: _Step, unsure: bool) -> Refusal:
-    if not unsure:
+def _make_unresolved_refusal(
+    pending: _PendingChange, may_have_applied: bool
+) -> Refusal:
+    if not may_have_applied:
         error = stores.StoreError(_Kind.UNAVAILABLE, "the platform is down")
-        return _refuse_platform(error)
+        return _make_platform_refusal(error)
     return Refusal(
         failures.Failure(
             _Code.OUTCOME_UNKNOWN,
             "the platform did not say whether the change was accepted; send "
-            f"it again with change_id {step.request.change_id}",
+            f"it again with change_id {pending.request.change_id}",
             verdicts.Verdict.MAY_HAVE_RUN,
             RETRY_AFTER_S,
         )
--- a/rhubarblock/catalogue/changes_test.py
+++ b/rhubarblock/catalogue/changes_test.py
@@ -18,14 +18,14 @@
 from rhubarblock.kernel import timers
 from rhubarblock.kernel import virtualloop
 
-WALL_S = 1_770_000_000.0  # A day in February 2026.
+WALL_S = 1_770_000_000.0  # 2026-02-02, in seconds since the epoch.
 ADMIN = changes.Actor("admin")
-SPOIL = fakestore.Spoil
+FAULT = fakestore.InjectedFault
 CODE = failures.FailureCode
 
 
-class Bench:
-    """A store and the change services of two instances."""
+class Harness:
+    """A fake store and the change services of two instances."""
 
     def __init__(self):
         clock = timers.LoopTimers(wall_offset_s=WALL_S)
@@ -41,7 +41,7 @@
         )
         self.other = changes.ChangeService(self.store, clock)
 
-    async def begin(self):
+    async def apply_first(self):
         return await self.apply(0, samples.parse(), "c1")
 
     async def apply(self, revision, proposed, change_id, **options):
@@ -54,14 +54,14 @@
         )
 
 
-def run(play):
+def run(scenario):
     async def main():
-        return await play(Bench())
+        return await scenario(Harness())
 
     return virtualloop.run(main())
 
 
-def rename(owner):
+def change_owner(owner):
     return samples.edit(("owner = Docks", f"owner = {owner}"))
 
 
@@ -69,12 +69,12 @@
     return outcome.failure().failure.code
 
 
-def test_a_change_and_its_record_are_one_object():
-    async def play(bench):
-        outcome = await bench.begin()
-        return outcome.unwrap(), bench.store.objects, bench.accepted
+def test_change_and_audit_record_are_written_as_one_object():
+    async def scenario(harness):
+        outcome = await harness.apply_first()
+        return outcome.unwrap(), harness.store.objects, harness.accepted
 
-    outcome, objects, accepted = run(play)
+    outcome, objects, accepted = run(scenario)
     assert outcome.revision == 1
     assert outcome.applied
     assert accepted == [1]
@@ -87,113 +87,117 @@
         "c1",
         audit.Action.APPLY,
         "admin",
-        WALL_S + 0.002,  # After one read of the store.
+        WALL_S + 0.002,  # The store was read once: two delays of 1 ms.
         "because",
         1,
         tuple(diff.compare(catalogues.Catalogue(), samples.parse())),
     )
 
 
-def test_the_next_change_keeps_the_record_of_the_last():
-    async def play(bench):
-        await bench.begin()
-        await bench.apply(1, rename("Second"), "c2")
-        records = await bench.service.archive.list_records()
-        return sorted(bench.store.objects), [r.change_id for r in records]
+def test_next_change_archives_previous_revision_and_record():
+    async def scenario(harness):
+        await harness.apply_first()
+        await harness.apply(1, change_owner("Second"), "c2")
+        records = await harness.service.archive.list_records()
+        return sorted(harness.store.objects), [r.change_id for r in records]
 
-    assert run(play) == (
+    assert run(scenario) == (
         ["audit/0001", "catalogue-history/0001", "catalogue/current"],
         ["c2", "c1"],
     )
 
 
-def test_a_late_change_is_a_conflict_with_both_sides():
-    async def play(bench):
-        await bench.begin()
-        await bench.apply(1, rename("Theirs"), "c2", service=bench.other)
-        return await bench.apply(1, rename("Yours"), "c3")
+def test_change_of_outdated_revision_is_a_conflict_with_both_sides():
+    async def scenario(harness):
+        await harness.apply_first()
+        await harness.apply(
+            1, change_owner("Theirs"), "c2", service=harness.other
+        )
+        return await harness.apply(1, change_owner("Yours"), "c3")
 
-    outcome = run(play)
+    outcome = run(scenario)
     assert get_code(outcome) is CODE.REVISION_CONFLICT
     conflict = outcome.failure().conflict
     assert conflict.revision == 2
     assert conflict.record.change_id == "c2"
-    head = "~ [workspace hofbauer/docks]\n    owner: Docks -> "
-    assert diff.format_changes(conflict.theirs) == head + "Theirs\n"
-    assert diff.format_changes(conflict.yours) == head + "Yours\n"
+    heading = "~ [workspace hofbauer/docks]\n    owner: Docks -> "
+    assert diff.format_changes(conflict.theirs) == heading + "Theirs\n"
+    assert diff.format_changes(conflict.yours) == heading + "Yours\n"
 
 
-def test_a_race_for_the_write_has_one_winner():
-    async def play(bench):
-        await bench.begin()
+def test_only_one_of_two_concurrent_changes_is_accepted():
+    async def scenario(harness):
+        await harness.apply_first()
         return await asyncio.gather(
-            bench.apply(1, rename("A"), "a"),
-            bench.apply(1, rename("B"), "b", service=bench.other),
+            harness.apply(1, change_owner("A"), "a"),
+            harness.apply(1, change_owner("B"), "b", service=harness.other),
         )
 
-    first, second = run(play)
+    first, second = run(scenario)
     assert first.unwrap().revision == 2
     assert get_code(second) is CODE.REVISION_CONFLICT
     assert second.failure().failure.verdict is verdicts.Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize(
-    "spoils",
+    "write_faults",
     [
-        [SPOIL.LOSE_ANSWER],
-        [SPOIL.LOSE_REQUEST],
-        [SPOIL.REFUSE],
-        [SPOIL.REFUSE, SPOIL.LOSE_ANSWER],
-        [SPOIL.LOSE_REQUEST, SPOIL.LOSE_REQUEST, SPOIL.LOSE_ANSWER],
+        [FAULT.LOSE_ANSWER],
+        [FAULT.LOSE_REQUEST],
+        [FAULT.REFUSE],
+        [FAULT.REFUSE, FAULT.LOSE_ANSWER],
+        [FAULT.LOSE_REQUEST, FAULT.LOSE_REQUEST, FAULT.LOSE_ANSWER],
     ],
 )
-def test_a_spoilt_write_is_made_once(spoils):
-    async def play(bench):
-        bench.store.spoils = spoils
-        outcome = await bench.begin()
-        return outcome.unwrap().revision, bench.store.objects
+def test_failed_write_is_retried_and_applied_once(write_faults):
+    async def scenario(harness):
+        harness.store.write_faults = write_faults
+        outcome = await harness.apply_first()
+        return outcome.unwrap().revision, harness.store.objects
 
-    revision, objects = run(play)
+    revision, objects = run(scenario)
     assert revision == 1
     value = objects["catalogue/current"].value
     assert codec.decode_attached_record(value).change_id == "c1"
 
 
-def test_a_lost_answer_is_told_even_when_another_change_followed():
-    async def play(bench):
+def test_lost_response_is_resolved_after_another_change_followed():
+    async def scenario(harness):
         async def replace(name):
-            await bench.apply(1, rename("Next"), "c2", service=bench.other)
+            await harness.apply(
+                1, change_owner("Next"), "c2", service=harness.other
+            )
 
-        bench.store.spoils = [SPOIL.LOSE_ANSWER]
-        # The second read is the one that reads the unsure write back.
+        harness.store.write_faults = [FAULT.LOSE_ANSWER]
+        # The second read is the one that reads back the unconfirmed write.
         reads = iter([None, replace])
 
         async def hook(name):
-            follow = next(reads)
-            if follow is None:
-                bench.store.before_read = hook
+            next_hook = next(reads)
+            if next_hook is None:
+                harness.store.before_read = hook
             else:
-                await follow(name)
+                await next_hook(name)
 
-        bench.store.before_read = hook
-        return await bench.begin(), bench.store.objects
+        harness.store.before_read = hook
+        return await harness.apply_first(), harness.store.objects
 
-    outcome, objects = run(play)
+    outcome, objects = run(scenario)
     assert outcome.unwrap().revision == 1
     value = objects["catalogue/current"].value
     assert codec.decode_attached_record(value).change_id == "c2"
 
 
-def test_an_unknown_outcome_can_be_sent_again():
-    async def play(bench):
-        lost = [SPOIL.LOSE_REQUEST] * changes.COMMIT_ATTEMPTS
-        bench.store.spoils = lost
-        unknown = await bench.begin()
-        again = await bench.begin()
-        third = await bench.begin()
+def test_change_with_unknown_outcome_can_be_retried():
+    async def scenario(harness):
+        lost = [FAULT.LOSE_REQUEST] * changes.COMMIT_ATTEMPTS
+        harness.store.write_faults = lost
+        unknown = await harness.apply_first()
+        again = await harness.apply_first()
+        third = await harness.apply_first()
         return unknown, again, third
 
-    unknown, again, third = run(play)
+    unknown, again, third = run(scenario)
     assert get_code(unknown) is CODE.OUTCOME_UNKNOWN
     failure = unknown.failure().failure
     assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
@@ -201,67 +205,71 @@
     assert third == again
 
 
-def test_a_platform_that_is_down_changes_nothing():
-    async def play(bench):
-        bench.store.is_down = True
-        return await bench.begin()
+def test_change_is_refused_as_not_run_while_platform_is_down():
+    async def scenario(harness):
+        harness.store.is_down = True
+        return await harness.apply_first()
 
-    outcome = run(play)
+    outcome = run(scenario)
     assert get_code(outcome) is CODE.PLATFORM_UNAVAILABLE
     assert outcome.failure().failure.verdict is verdicts.Verdict.NOT_RUN
 
 
-def test_dying_before_the_commit_leaves_nothing_half():
-    async def play(bench):
-        await bench.begin()
-        # The two archive writes pass; no write of the catalogue does.
-        refusals = [SPOIL.REFUSE] * changes.COMMIT_ATTEMPTS
-        bench.store.spoils = [None, None, *refusals]
-        dead = await bench.apply(1, rename("Dead"), "c2")
-        alive = await bench.apply(1, rename("Alive"), "c3")
-        records = await bench.service.archive.list_records()
+def test_change_that_fails_before_commit_leaves_no_audit_record():
+    async def scenario(harness):
+        await harness.apply_first()
+        # Both archive writes succeed; every write of the catalogue fails.
+        refusals = [FAULT.REFUSE] * changes.COMMIT_ATTEMPTS
+        harness.store.write_faults = [None, None, *refusals]
+        dead = await harness.apply(1, change_owner("Dead"), "c2")
+        alive = await harness.apply(1, change_owner("Alive"), "c3")
+        records = await harness.service.archive.list_records()
         return get_code(dead), alive, [r.change_id for r in records]
 
-    code, alive, ids = run(play)
+    code, alive, ids = run(scenario)
     assert code is CODE.PLATFORM_UNAVAILABLE
     assert alive.unwrap().revision == 2
     assert ids == ["c3", "c1"]
 
 
-def test_an_older_state_of_the_platform_is_not_believed():
-    async def play(bench):
-        await bench.begin()
-        bench.known = 2
-        return await bench.apply(1, rename("Late"), "c2")
+def test_stale_revision_from_platform_is_rejected():
+    async def scenario(harness):
+        await harness.apply_first()
+        harness.known = 2
+        return await harness.apply(1, change_owner("Late"), "c2")
 
-    failure = run(play).failure().failure
+    failure = run(scenario).failure().failure
     assert failure.message == (
         "nothing was changed: the platform answered with revision 1, but 2 "
         "is in force"
     )
 
 
-def test_a_dry_run_writes_nothing():
-    async def play(bench):
-        await bench.begin()
-        before = dict(bench.store.objects)
-        outcome = await bench.apply(1, rename("Dry"), "c2", dry_run=True)
-        return outcome.unwrap(), before == bench.store.objects
+def test_dry_run_writes_nothing():
+    async def scenario(harness):
+        await harness.apply_first()
+        before = dict(harness.store.objects)
+        outcome = await harness.apply(
+            1, change_owner("Dry"), "c2", dry_run=True
+        )
+        return outcome.unwrap(), before == harness.store.objects
 
-    outcome, unchanged = run(play)
+    outcome, unchanged = run(scenario)
     assert not outcome.applied
     assert len(outcome.changes) == 1
     assert unchanged
 
 
-def test_all_errors_of_a_change_are_told():
-    async def play(bench):
-        await bench.begin()
-        return await bench.apply(
-            1, samples.cut("institution adwoa", "model reader"), "c2"
+def test_change_refusal_lists_all_errors():
+    async def scenario(harness):
+        await harness.apply_first()
+        return await harness.apply(
+            1,
+            samples.remove_sections("institution adwoa", "model reader"),
+            "c2",
         )
 
-    refusal = run(play).failure()
+    refusal = run(scenario).failure()
     assert refusal.failure.code is CODE.INVALID_CATALOGUE
     assert [str(error) for error in refusal.errors] == [
         "[institution adwoa] cannot be removed: its contract runs until "
@@ -279,89 +287,90 @@
     ]
 
 
-def test_a_catalogue_that_does_not_fit_is_refused():
-    async def play(bench):
+def test_catalogue_above_object_size_limit_is_refused():
+    async def scenario(harness):
         place = catalogues.Place("osu", "x" * 1_100_000, "accra")
         huge = dataclasses.replace(samples.parse(), places={"osu": place})
-        return await bench.apply(0, huge, "c1")
+        return await harness.apply(0, huge, "c1")
 
-    assert get_code(run(play)) is CODE.INVALID_CATALOGUE
+    assert get_code(run(scenario)) is CODE.INVALID_CATALOGUE
 
 
 def make_rollback(revision, target, actor=ADMIN):
     return changes.RollbackRequest("r1", actor, "back", revision, target)
 
 
-def test_a_rollback_is_a_new_revision():
-    async def play(bench):
-        await bench.begin()
-        await bench.apply(1, rename("Wrong"), "c2")
-        outcome = await bench.service.roll_back(make_rollback(2, 1))
-        current = await bench.service.archive.read_current()
+def test_rollback_creates_a_new_revision():
+    async def scenario(harness):
+        await harness.apply_first()
+        await harness.apply(1, change_owner("Wrong"), "c2")
+        outcome = await harness.service.roll_back(make_rollback(2, 1))
+        current = await harness.service.archive.read_current()
         return outcome.unwrap(), current
 
-    outcome, current = run(play)
+    outcome, current = run(scenario)
     assert outcome.revision == 3
     assert current.record.action is audit.Action.ROLLBACK
     assert current.record.target == "1"
     assert current.catalogue == dataclasses.replace(samples.parse(), revision=3)
 
 
-def test_an_operator_rolls_back_only_its_own_entries():
-    async def play(bench):
-        await bench.begin()
+def test_operator_rollback_restores_only_own_institution():
+    async def scenario(harness):
+        await harness.apply_first()
         changed = samples.edit(
             ("owner = Docks", "owner = Wrong"),
             ("owner = Claims desk", "owner = New claims desk"),
             ("version = v1", "version = v2"),
         )
-        await bench.apply(1, changed, "c2")
+        await harness.apply(1, changed, "c2")
         actor = changes.Actor("hofbauer-op", "hofbauer")
-        await bench.service.roll_back(make_rollback(2, 1, actor))
-        current = await bench.service.archive.read_current()
+        await harness.service.roll_back(make_rollback(2, 1, actor))
+        current = await harness.service.archive.read_current()
         return current.catalogue
 
-    catalogue = run(play)
+    catalogue = run(scenario)
     assert catalogue.revision == 3
     assert catalogue.workspaces["hofbauer/docks"].owner == "Docks"
     assert catalogue.workspaces["adwoa/claims"].owner == "New claims desk"
     assert catalogue.models["reader"].version == "v2"
 
 
-def test_the_rings_bound_what_is_kept(monkeypatch):
+def test_rings_bound_the_number_of_stored_objects(monkeypatch):
     monkeypatch.setattr(archives, "AUDIT_SLOTS", 4)
     monkeypatch.setattr(archives, "HISTORY_SLOTS", 2)
 
-    async def play(bench):
-        await bench.begin()
+    async def scenario(harness):
+        await harness.apply_first()
         for revision in range(1, 9):
-            await bench.apply(
-                revision, rename(f"R{revision}"), f"c{revision + 1}"
+            await harness.apply(
+                revision, change_owner(f"R{revision}"), f"c{revision + 1}"
             )
-        records = await bench.service.archive.list_records()
-        gone = await bench.service.roll_back(make_rollback(9, 6))
-        late = await bench.apply(1, rename("Late"), "c99")
+        records = await harness.service.archive.list_records()
+        unavailable = await harness.service.roll_back(make_rollback(9, 6))
+        late = await harness.apply(1, change_owner("Late"), "c99")
         return (
-            len(bench.store.objects),
+            len(harness.store.objects),
             [r.revision for r in records],
-            gone,
+            unavailable,
             late,
         )
 
-    count, revisions, gone, late = run(play)
+    count, revisions, unavailable, late = run(scenario)
     assert count == 1 + 4 + 2
     assert revisions == [9, 8, 7, 6, 5]
-    assert gone.failure().failure.message == "revision 6 is not kept"
-    # Nobody can tell any more whether revision 2 was this change.
+    assert unavailable.failure().failure.message == "revision 6 is not kept"
+    # The record of revision 2 was overwritten, so revision 2 may have been
+    # created by this change.
     assert late.failure().failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
     assert late.failure().conflict.theirs is None
 
 
-def test_acts_take_the_oldest_slot(monkeypatch):
-    monkeypatch.setattr(archives, "ACT_SLOTS", 2)
+def test_new_action_record_overwrites_the_oldest_slot(monkeypatch):
+    monkeypatch.setattr(archives, "ACTION_SLOTS", 2)
 
-    async def play(bench):
-        archive = bench.service.archive
+    async def scenario(harness):
+        archive = harness.service.archive
         for number in (1, 2, 3, 3):
             record = audit.AuditRecord(
                 f"d{number}", audit.Action.DRAIN, "admin", number, "why", 0
@@ -369,38 +378,38 @@
             await archive.add_act(record)
         return [r.change_id for r in await archive.list_records()]
 
-    assert run(play) == ["d3", "d2"]
+    assert run(scenario) == ["d3", "d2"]
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_accepted_change_lacks_its_record(seed):
-    """Two instances race while any write may be refused or lost."""
+def test_every_accepted_change_has_an_audit_record(seed):
+    """Two instances change the catalogue while writes fail at random."""
 
-    async def play(bench):
+    async def scenario(harness):
         rng = random.Random(seed)
-        bench.store.draw_delay = rng.random
-        choices = [None, None, *SPOIL]
+        harness.store.draw_delay = rng.random
+        choices = [None, None, *FAULT]
         outcomes = {}
 
         async def operate(service, name):
             for number in range(6):
                 current = codec.decode_revision(
-                    bench.store.objects["catalogue/current"].value
+                    harness.store.objects["catalogue/current"].value
                 )
-                bench.store.spoils = rng.choices(choices, k=4)
+                harness.store.write_faults = rng.choices(choices, k=4)
                 change_id = f"{name}{number}"
-                outcomes[change_id] = await bench.apply(
-                    current, rename(change_id), change_id, service=service
+                outcomes[change_id] = await harness.apply(
+                    current, change_owner(change_id), change_id, service=service
                 )
-                await bench.clock.sleep(rng.random())
+                await harness.clock.sleep(rng.random())
 
-        await bench.begin()
+        await harness.apply_first()
         await asyncio.gather(
-            operate(bench.service, "a"), operate(bench.other, "b")
+            operate(harness.service, "a"), operate(harness.other, "b")
         )
-        return outcomes, await bench.service.archive.list_records()
+        return outcomes, await harness.service.archive.list_records()
 
-    outcomes, records = run(play)
+    outcomes, records = run(scenario)
     ids = [record.change_id for record in records]
     assert [r.revision for r in records] == list(range(len(ids), 0, -1))
     assert len(set(ids)) == len(ids)
@@ -411,18 +420,18 @@
             assert change_id not in ids
 
 
-def test_a_slow_writer_does_not_replace_a_later_slot(monkeypatch):
+def test_late_archive_write_does_not_overwrite_a_newer_revision(monkeypatch):
     monkeypatch.setattr(archives, "AUDIT_SLOTS", 2)
 
-    async def play(bench):
-        await bench.begin()
-        archive = bench.service.archive
+    async def scenario(harness):
+        await harness.apply_first()
+        archive = harness.service.archive
         first = await archive.read_current()
         for revision in (1, 2, 3):
-            await bench.apply(
-                revision, rename(f"R{revision}"), f"c{revision + 1}"
+            await harness.apply(
+                revision, change_owner(f"R{revision}"), f"c{revision + 1}"
             )
-        await archive.keep(first)
+        await archive.store_revision(first)
         return (await archive.read_record(3)).change_id
 
-    assert run(play) == "c3"
+    assert run(scenario) == "c3"
--- a/rhubarblock/catalogue/codec.py
+++ b/rhubarblock/catalogue/codec.py
@@ -1,9 +1,9 @@
-"""The catalogue and its audit record as JSON, for the platform and peers.
+"""Encodes catalogues and audit records as JSON for the platform and peers.
 
-One object of the platform holds a catalogue together with the record of the
-change that made it, so an accepted change cannot lack its record. Fields with
-their default are left out. Fields that this version does not know are passed
-over when read, so that instances of two versions can run side by side.
+A catalogue and the audit record of the change that created it are stored in one
+object, so no accepted change lacks its record. Fields with their default value
+are omitted. Unknown fields are ignored when read, so instances of two versions
+can run side by side.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 class CodecError(ValueError):
-    """The bytes hold no catalogue or audit record."""
+    """The bytes are not a valid catalogue or audit record."""
 
 
 def encode(
@@ -31,8 +31,8 @@
     """Returns a catalogue as compact JSON.
 
     Args:
-      catalogue: what to encode.
-      record: the change that made it, or None.
+      catalogue: the catalogue to encode.
+      record: audit record of the change that created it, or None.
     """
     document = build_document(catalogue)
     if record is not None:
@@ -41,13 +41,13 @@
 
 
 def decode(content: bytes) -> catalogues.Catalogue:
-    """Returns the catalogue of what ``encode`` wrote.
+    """Returns the catalogue in the output of ``encode``.
 
     Args:
       content: JSON, with or without an audit record.
 
     Raises:
-      CodecError: it is no catalogue.
+      CodecError: the content is not a valid catalogue.
     """
     document = _load(content)
     revision = _expect(document.get(_REVISION), int)
@@ -63,16 +63,16 @@
     """Returns the revision of an encoded catalogue or audit record.
 
     Raises:
-      CodecError: it is neither.
+      CodecError: the content is not JSON or has no revision.
     """
     return _expect(_load(content).get(_REVISION), int)
 
 
 def decode_attached_record(content: bytes) -> audit.AuditRecord | None:
-    """Returns the record beside a catalogue that ``encode`` wrote.
+    """Returns the audit record in the output of ``encode``, or None.
 
     Raises:
-      CodecError: the record cannot be read.
+      CodecError: the content or the record in it is invalid.
     """
     document = _load(content).get(_AUDIT)
     return None if document is None else parse_record_document(document)
@@ -84,21 +84,21 @@
 
 
 def decode_record(content: bytes) -> audit.AuditRecord:
-    """Returns the audit record that ``encode_record`` wrote.
+    """Returns the audit record in the output of ``encode_record``.
 
     Raises:
-      CodecError: it is no audit record.
+      CodecError: the content is not a valid audit record.
     """
     return parse_record_document(_load(content))
 
 
 def build_document(catalogue: catalogues.Catalogue) -> dict[str, Any]:
-    """Returns a catalogue as plain JSON values."""
+    """Returns a catalogue as a JSON-serialisable dictionary."""
     document: dict[str, Any] = {_REVISION: catalogue.revision}
     for schema, entry in schemas.iterate_entries(catalogue):
         container = document.setdefault(schema.container, {})
         container[entry.name] = {
-            key: _to_plain(field.get_value(entry))
+            key: _to_json_value(field.get_value(entry))
             for key, field in schema.fields.items()
             if not field.is_default(entry)
         }
@@ -106,7 +106,7 @@
 
 
 def build_record_document(record: audit.AuditRecord) -> dict[str, Any]:
-    """Returns an audit record as plain JSON values."""
+    """Returns an audit record as a JSON-serialisable dictionary."""
     return {
         "change_id": record.change_id,
         "action": record.action.value,
@@ -120,7 +120,7 @@
 
 
 def build_change_document(change: diff.Change) -> dict[str, Any]:
-    """Returns one change as plain JSON values."""
+    """Returns one change as a JSON-serialisable dictionary."""
     return {
         "act": change.act.value,
         "kind": change.kind.value,
@@ -134,10 +134,10 @@
 
 
 def parse_record_document(document: Any) -> audit.AuditRecord:
-    """Returns the audit record of plain JSON values.
+    """Returns the audit record in a decoded JSON document.
 
     Raises:
-      CodecError: it is no audit record.
+      CodecError: the document is not a valid audit record.
     """
     document = _expect(document, dict)
     try:
@@ -156,10 +156,10 @@
 
 
 def parse_change_document(document: Any) -> diff.Change:
-    """Returns the change of plain JSON values.
+    """Returns the change in a decoded JSON document.
 
     Raises:
-      CodecError: it is no change.
+      CodecError: the document is not a valid change.
     """
     document = _expect(document, dict)
     try:
@@ -187,32 +187,32 @@
 
 
 def _read_value(key: fields.Key, raw: dict[str, Any], entry: str) -> Any:
-    plain = raw.get(key.name, dataclasses.MISSING)
-    if plain is dataclasses.MISSING:
+    json_value = raw.get(key.name, dataclasses.MISSING)
+    if json_value is dataclasses.MISSING:
         if key.required:
             raise CodecError(f"[{entry}] {key.name}: is missing")
         return key.default
     try:
-        return key.kind.parse(_to_text(plain))
+        return key.kind.parse(_to_file_text(json_value))
     except ValueError as error:
         raise CodecError(f"[{entry}] {key.name}: {error}") from error
 
 
-def _to_plain(value: Any) -> Any:
+def _to_json_value(value: Any) -> Any:
     if isinstance(value, enum.Enum):
         return value.value
     return list(value) if isinstance(value, tuple) else value
 
 
-def _to_text(plain: Any) -> str:
-    """Returns a JSON value as it would stand in a file."""
-    if isinstance(plain, str):
-        return plain
-    if isinstance(plain, bool):
-        return "yes" if plain else "no"
-    if isinstance(plain, list):
-        return ", ".join(map(str, plain))
-    return str(plain)
+def _to_file_text(json_value: Any) -> str:
+    """Returns a JSON value in the syntax of a catalogue file."""
+    if isinstance(json_value, str):
+        return json_value
+    if isinstance(json_value, bool):
+        return "yes" if json_value else "no"
+    if isinstance(json_value, list):
+        return ", ".join(map(str, json_value))
+    return str(json_value)
 
 
 def _dump(document: dict[str, Any]) -> bytes:
@@ -227,7 +227,7 @@
         raise CodecError(f"no JSON: {error}") from error
 
 
-def _expect(value: Any, wanted: type) -> Any:
-    if not isinstance(value, wanted) or isinstance(value, bool):
-        raise CodecError(f"{value!r:.40} is no {wanted.__name__}")
+def _expect(value: Any, expected_type: type) -> Any:
+    if not isinstance(value, expected_type) or isinstance(value, bool):
+        raise CodecError(f"{value!r:.40} is no {expected_type.__name__}")
     return value
--- a/rhubarblock/catalogue/codec_test.py
+++ b/rhubarblock/catalogue/codec_test.py
@@ -18,7 +18,7 @@
     )
 
 
-def test_catalogue_and_record_come_back_from_one_object():
+def test_catalogue_and_record_round_trip_in_one_object():
     catalogue = dataclasses.replace(samples.parse(), revision=7)
     content = codec.encode(catalogue, make_record())
     assert codec.decode(content) == catalogue
@@ -27,12 +27,12 @@
     assert codec.decode_attached_record(codec.encode(catalogue)) is None
 
 
-def test_a_record_comes_back():
+def test_audit_record_round_trips():
     content = codec.encode_record(make_record())
     assert codec.decode_record(content) == make_record()
 
 
-def test_fields_of_a_newer_version_are_passed_over():
+def test_unknown_fields_of_newer_versions_are_ignored():
     document = json.loads(codec.encode(samples.parse()))
     document["places"]["osu"]["altitude"] = 61
     document["planets"] = {}
@@ -58,12 +58,12 @@
         ),
     ],
 )
-def test_other_bytes_are_refused(content, message):
+def test_invalid_content_is_rejected(content, message):
     with pytest.raises(codec.CodecError, match=message):
         codec.decode(content)
 
 
-def test_the_two_year_size_fits_into_one_object():
+def test_catalogue_of_the_two_year_size_fits_into_one_object():
     catalogue = samples.parse()
     workspace = catalogue.workspaces["adwoa/claims"]
     names = [f"adwoa/workspace-{number}" for number in range(230)]
--- a/rhubarblock/catalogue/diff.py
+++ b/rhubarblock/catalogue/diff.py
@@ -1,4 +1,7 @@
-"""Compares two catalogues, for operators and for the audit trail."""
+"""Computes and formats the differences between two catalogues.
+
+They are shown to operators and stored in audit records.
+"""
 
 from collections.abc import Iterable
 import dataclasses
@@ -10,7 +13,7 @@
 
 
 class Act(enum.Enum):
-    """What happened to an entry."""
+    """Kind of change to an entry."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -19,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class FieldChange:
-    """One field before and after, as text; empty when absent."""
+    """A field's values before and after, as text; empty if absent."""
 
     field: str
     before: str
@@ -28,14 +31,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Change:
-    """What happened to one entry.
+    """The change to one entry.
 
     Attributes:
-      act: added, removed or changed.
+      act: whether the entry was added, removed or changed.
       kind: kind of the entry.
-      name: its name.
-      fields: fields that differ; for an added or removed entry all that do
-        not have their default.
+      name: name of the entry.
+      fields: fields that differ; for an added or removed entry, all fields
+        whose value is not the default.
       institution: institution that the entry belongs to; empty if shared.
     """
 
@@ -49,11 +52,11 @@
 def compare(
     before: catalogues.Catalogue, after: catalogues.Catalogue
 ) -> list[Change]:
-    """Returns the changes that lead from one catalogue to another.
+    """Returns the changes between two catalogues.
 
     Args:
-      before: the older one.
-      after: the newer one.
+      before: the older catalogue.
+      after: the newer catalogue.
 
     Returns:
       The changes ordered by kind and name; revisions are not compared.
@@ -82,7 +85,9 @@
     fields = tuple(
         FieldChange(key, before, after)
         for key, field in schema.fields.items()
-        for before, after in [(_show(field, old, new), _show(field, new, old))]
+        for before, after in [
+            (_format_value(field, old, new), _format_value(field, new, old))
+        ]
         if before != after
     )
     present = old if new is None else new
@@ -90,8 +95,17 @@
     return Change(act, schema.kind, name, fields, institution)
 
 
-def _show(field: schemas.EntryField, entry: Any, other: Any) -> str:
-    """Returns a field as text; empty when it says nothing."""
+def _format_value(field: schemas.EntryField, entry: Any, other: Any) -> str:
+    """Returns a field's value as text; empty if there is nothing to show.
+
+    That is the case if the entry does not exist, and for a default value of an
+    entry that was added or removed.
+
+    Args:
+      field: the field to format.
+      entry: the entry on this side of the comparison, or None.
+      other: the entry on the other side, or None.
+    """
     if entry is None or (other is None and field.is_default(entry)):
         return ""
     return field.format_value(entry)
@@ -101,7 +115,7 @@
 
 
 def format_changes(changes: Iterable[Change]) -> str:
-    """Writes changes as text for a person; empty when there are none."""
+    """Returns changes as text for operators; empty if there are none."""
     lines = []
     for change in changes:
         mark = _MARKS[change.act]
--- a/rhubarblock/catalogue/fakestore_test.py
+++ b/rhubarblock/catalogue/fakestore_test.py
@@ -1,4 +1,4 @@
-"""A store in memory whose answers a test can spoil."""
+"""An in-memory object store with fault injection, for tests."""
 
 import asyncio
 import contextlib
@@ -13,29 +13,31 @@
 _Kind = stores.StoreErrorKind
 
 
-class Spoil(enum.Enum):
-    """What happens to one call."""
+class InjectedFault(enum.Enum):
+    """Fault injected into one write."""
 
-    REFUSE = "refuse"  # Refused before it took effect.
-    LOSE_ANSWER = "lose answer"  # It took effect, the answer is lost.
-    LOSE_REQUEST = "lose request"  # It took no effect, the answer is lost.
+    REFUSE = "refuse"  # Refused before the write took effect.
+    LOSE_ANSWER = "lose answer"  # The write took effect, no response.
+    LOSE_REQUEST = "lose request"  # The write took no effect, no response.
 
 
 class FakeStore(stores.ObjectStore):
-    """Objects in a dictionary.
+    """Object store backed by a dictionary.
 
     Attributes:
-      objects: present objects by name.
-      spoils: what happens to the next writes, in order; None is no fault.
-      before_write: awaited with the name before the next write, once.
-      draw_delay: returns the seconds that a call takes, once on its way to
-        the store and once on its way back.
-      before_read: awaited with the name before the next read, once.
+      objects: stored objects by name.
+      write_faults: faults for the next writes, in order; None injects none.
+      before_write: hook awaited with the object name, once, before the next
+        write.
+      draw_delay: returns the latency in seconds, drawn once for the request and
+        once for the response.
+      before_read: hook awaited with the object name, once, before the next
+        read.
     """
 
     def __init__(self):
         self.objects = {}
-        self.spoils = []
+        self.write_faults = []
         self.before_write = None
         self.before_read = None
         self.is_down = False
@@ -50,7 +52,7 @@
         return stored
 
     async def read(self, name):
-        async with self._travel():
+        async with self._simulate_latency():
             if self.before_read is not None:
                 hook, self.before_read = self.before_read, None
                 await hook(name)
@@ -59,23 +61,23 @@
             return self.objects[name]
 
     async def list_objects(self, prefix):
-        async with self._travel():
+        async with self._simulate_latency():
             names = sorted(n for n in self.objects if n.startswith(prefix))
             found = tuple(self.objects[name] for name in names)
             return stores.Page(found, positions.Position(0, self._version))
 
     async def write(self, name, value, expected_version):
-        async with self._travel():
+        async with self._simulate_latency():
             if self.before_write is not None:
                 hook, self.before_write = self.before_write, None
                 await hook(name)
             return self._write(name, value, expected_version)
 
     def _write(self, name, value, expected_version):
-        spoil = self.spoils.pop(0) if self.spoils else None
-        if spoil is Spoil.REFUSE:
+        fault = self.write_faults.pop(0) if self.write_faults else None
+        if fault is InjectedFault.REFUSE:
             raise stores.StoreError(_Kind.UNAVAILABLE)
-        if spoil is Spoil.LOSE_REQUEST:
+        if fault is InjectedFault.LOSE_REQUEST:
             raise stores.StoreError(_Kind.UNSURE)
         present = self.objects.get(name)
         version = present.version if present else positions.NOWHERE
@@ -84,7 +86,7 @@
         if len(value) > stores.VALUE_LIMIT:
             raise stores.StoreError(_Kind.TOO_LARGE)
         stored = self.put(name, value)
-        if spoil is Spoil.LOSE_ANSWER:
+        if fault is InjectedFault.LOSE_ANSWER:
             raise stores.StoreError(_Kind.UNSURE)
         return stored
 
@@ -95,8 +97,8 @@
         raise NotImplementedError
 
     @contextlib.asynccontextmanager
-    async def _travel(self):
-        """Lets other tasks run before and after the call takes effect."""
+    async def _simulate_latency(self):
+        """Delays request and response so that other tasks can run."""
         await asyncio.sleep(self.draw_delay())
         if self.is_down:
             raise stores.StoreError(_Kind.UNAVAILABLE, "platform is down")
--- a/rhubarblock/catalogue/faults.py
+++ b/rhubarblock/catalogue/faults.py
@@ -1,4 +1,4 @@
-"""Errors of a catalogue, each with its entry and field."""
+"""Validation errors of a catalogue, with their entry and field."""
 
 import dataclasses
 
@@ -8,16 +8,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CatalogueError:
-    """One error.
+    """One error in a catalogue.
 
     Attributes:
-      kind: kind of the entry as text; empty when no entry is meant.
+      kind: kind of the entry as text; empty if the error concerns no entry.
       name: name of the entry.
-      field: field of the entry; empty when the entry itself is meant.
-      message: what is wrong.
-      allowed: what would be right, or empty.
-      file: file in which it stands, or empty.
-      line: line number; 0 when unknown.
+      field: field of the entry; empty if the error concerns the whole entry.
+      message: description of the error.
+      allowed: description of the allowed values, or empty.
+      file: file that contains the error, or empty.
+      line: line number in the file; 0 if unknown.
     """
 
     kind: str
@@ -37,12 +37,12 @@
         return text if self.file else text.removeprefix(": ")
 
 
-def report(
+def make_error(
     kind: schemas.EntryKind,
     name: str,
     field: str,
     message: str,
     allowed: str = "",
 ) -> CatalogueError:
-    """Returns an error that stands in no file."""
+    """Returns an error without a file and line."""
     return CatalogueError(kind.value, name, field, message, allowed)
--- a/rhubarblock/catalogue/files.py
+++ b/rhubarblock/catalogue/files.py
@@ -1,6 +1,6 @@
-"""The catalogue as operators write it: an INI file of entries.
+"""Parses and formats the INI files in which operators write a catalogue.
 
-A section is one entry, ``[kind name]``; its keys are the fields of
+Each section ``[kind name]`` is one entry; its keys are the fields defined in
 ``catalogue.schema``.
 """
 
@@ -20,36 +20,37 @@
 
 
 def parse_catalogue(text: str, filename: str) -> Parsed:
-    """Reads a catalogue file without checking entries against each other.
+    """Parses a catalogue file without checking references between entries.
 
     Args:
       text: text of the file.
-      filename: name of the file, for errors.
+      filename: name of the file, for error messages.
 
     Returns:
       The catalogue with revision 0, or every error in the order of lines.
     """
-    parsing = _Parsing(filename)
-    catalogue = parsing.parse(text)
-    if parsing.errors:
-        return result.Failure(_sort_errors(parsing.errors))
+    parser = _CatalogueParser(filename)
+    catalogue = parser.parse(text)
+    if parser.errors:
+        return result.Failure(_sort_errors(parser.errors))
     return result.Success(catalogue)
 
 
 def load_catalogue(text: str, filename: str) -> Parsed:
-    """Reads a catalogue file and checks it as a whole.
+    """Parses and validates a catalogue file.
 
     Args:
       text: text of the file.
-      filename: name of the file, for errors.
+      filename: name of the file, for error messages.
 
     Returns:
-      The valid catalogue with revision 0, or every error of both steps.
+      The valid catalogue with revision 0, or every parsing and validation error
+      in the order of lines.
     """
-    parsing = _Parsing(filename)
-    catalogue = parsing.parse(text)
-    found = validation.validate(catalogue, frozenset(parsing.broken))
-    errors = parsing.errors + [parsing.locate(error) for error in found]
+    parser = _CatalogueParser(filename)
+    catalogue = parser.parse(text)
+    found = validation.validate(catalogue, frozenset(parser.unreadable))
+    errors = parser.errors + [parser.locate(error) for error in found]
     if errors:
         return result.Failure(_sort_errors(errors))
     return result.Success(catalogue)
@@ -61,19 +62,24 @@
     return tuple(sorted(errors, key=lambda error: error.line))
 
 
-class _Parsing:
-    """Goes through the sections of one file and keeps what is wrong."""
+class _CatalogueParser:
+    """Parses one file and collects all errors instead of stopping at one.
 
-    __slots__ = ("_filename", "_document", "errors", "broken")
+    Attributes:
+      errors: errors found so far.
+      unreadable: kind and name of each entry with an error.
+    """
+
+    __slots__ = ("_filename", "_document", "errors", "unreadable")
 
     def __init__(self, filename: str) -> None:
         self._filename = filename
         self._document = inifile.Document()
         self.errors: list[faults.CatalogueError] = []
-        self.broken: set[tuple[schemas.EntryKind, str]] = set()
+        self.unreadable: set[tuple[schemas.EntryKind, str]] = set()
 
     def parse(self, text: str) -> catalogues.Catalogue:
-        """Returns the entries that could be read."""
+        """Returns a catalogue of the entries that have no error."""
         self._document = inifile.parse_document(text)
         for fault in self._document.faults:
             self._add(
@@ -89,7 +95,7 @@
         return schemas.build_catalogue(0, entries)
 
     def locate(self, error: faults.CatalogueError) -> faults.CatalogueError:
-        """Adds file and line to an error that validation found."""
+        """Adds file and line to a validation error."""
         section = self._document.sections.get(f"{error.kind} {error.name}")
         line = 0
         if section is not None:
@@ -117,16 +123,16 @@
         for fault in found:
             self._add(fault)
         if found:
-            self.broken.add((schema.kind, name))
+            self.unreadable.add((schema.kind, name))
             return None
         return schema, schema.build(name, values)
 
     def _find_schema(
         self, section: inifile.Section
     ) -> schemas.EntrySchema | None:
-        word = section.name.partition(" ")[0]
+        kind_name = section.name.partition(" ")[0]
         for kind, schema in schemas.SCHEMAS.items():
-            if kind.value == word:
+            if kind.value == kind_name:
                 return schema
         allowed = ", ".join(f"[{kind.value} NAME]" for kind in schemas.SCHEMAS)
         self._add(
@@ -152,13 +158,15 @@
 
 
 def format_catalogue(catalogue: catalogues.Catalogue) -> str:
-    """Writes a catalogue as a file that reads back as the same entries.
+    """Returns a catalogue as the text of a catalogue file.
+
+    Parsing the text returns the same entries.
 
     Args:
-      catalogue: what to write; its revision is left out.
+      catalogue: the catalogue to format; its revision is omitted.
 
     Returns:
-      The text, ordered by kind and name; defaults are left out.
+      The text, ordered by kind and name; default values are omitted.
     """
     blocks = [
         "\n".join(_format_entry(schema, entry))
--- a/rhubarblock/catalogue/files_test.py
+++ b/rhubarblock/catalogue/files_test.py
@@ -9,19 +9,19 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def test_what_is_written_reads_back():
+def test_formatted_catalogue_parses_to_the_same_entries():
     text = files.format_catalogue(samples.parse())
     assert text.startswith(samples.TEXT[: samples.TEXT.index("[place")])
     assert samples.parse(text) == samples.parse()
 
 
-def test_a_workspace_names_its_institution():
+def test_institution_is_derived_from_workspace_name():
     catalogue = samples.parse()
     assert catalogue.workspaces["adwoa/claims"].institution == "adwoa"
     assert catalogue.credentials["claims"].institution == "adwoa"
 
 
-def test_errors_of_both_steps_come_at_once():
+def test_parsing_and_validation_errors_are_reported_together():
     text = """\
 [institution adwoa]
 owner =
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("name", ["adwoa", "hofbauer"])
-def test_the_examples_are_whole(name):
+def test_example_catalogues_are_valid_and_complete(name):
     text = (ROOT / "examples" / name / "catalogue.ini").read_text()
     catalogue = files.load_catalogue(text, name).unwrap()
     assert len(catalogue.places) == 3
@@ -76,6 +76,6 @@
     assert catalogue.credentials[f"{name}-operator"].sha256 == secret
 
 
-def test_the_page_documents_every_field():
+def test_operators_page_documents_every_field():
     page = (ROOT / "docs" / "operators" / "catalogue.md").read_text()
     assert reference.format_fields() in page
--- a/rhubarblock/catalogue/samples_test.py
+++ b/rhubarblock/catalogue/samples_test.py
@@ -1,4 +1,4 @@
-"""A small catalogue that the tests of this package share."""
+"""A small catalogue shared by the tests of several packages."""
 
 import hashlib
 
@@ -84,8 +84,8 @@
     return parse(text)
 
 
-def cut(*sections, text=WHOLE):
-    """Returns the catalogue without some sections."""
+def remove_sections(*sections, text=WHOLE):
+    """Parses the catalogue without the given sections."""
     blocks = text.split("\n\n")
     heads = tuple(f"[{section}]" for section in sections)
     return parse("\n\n".join(b for b in blocks if not b.startswith(heads)))
--- a/rhubarblock/catalogue/schema.py
+++ b/rhubarblock/catalogue/schema.py
@@ -1,8 +1,7 @@
-"""The kinds of catalogue entry and the fields of each.
+"""Schema of the catalogue: the entry kinds and their fields.
 
-Files, the codec, the comparison and the validation all go through this one
-table, so a field that is added here is read, written, compared and checked
-everywhere.
+File parser, codec, diff and validation all use this table, so a field added
+here is read, written, compared and validated everywhere.
 """
 
 from collections.abc import Iterator
@@ -23,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PathPrefix(kinds.ValueKind):
-    """Start of the path of a call; commas would end it in a list."""
+    """A URL path prefix; commas are excluded because they separate items."""
 
     def parse(self, text: str) -> str:
         if not text.startswith("/") or "," in text or " " in text:
@@ -35,7 +34,7 @@
 
 
 class EntryKind(enum.Enum):
-    """The kinds of entry, as they stand in section names."""
+    """Entry kinds; the values are used in section names."""
 
     INSTITUTION = "institution"
     WORKSPACE = "workspace"
@@ -47,39 +46,40 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntryField:
-    """One field of an entry.
+    """One field of an entry kind.
 
     Attributes:
-      key: its name in files, with its kind, help and default.
-      path: attribute of the entry, dotted when it lies in its limits.
+      key: name in files, value kind, help text and default.
+      path: attribute path on the entry; dotted for a field of its limits.
     """
 
     key: fields.Key
     path: str
 
     def get_value(self, entry: Any) -> Any:
-        """Returns the value of the field in an entry."""
+        """Returns this field's value in an entry."""
         return operator.attrgetter(self.path)(entry)
 
     def format_value(self, entry: Any) -> str:
-        """Returns the value of the field in an entry as text."""
+        """Returns this field's value in an entry as text."""
         return self.key.kind.format(self.get_value(entry))
 
     def is_default(self, entry: Any) -> bool:
-        """Says whether an entry has the default value."""
+        """Returns whether this field has its default value in an entry."""
         return self.get_value(entry) == self.key.default
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntrySchema:
-    """One kind of entry.
+    """Schema of one entry kind.
 
     Attributes:
-      kind: the kind.
-      container: attribute of the catalogue that holds its entries by name.
-      entry_type: its class in ``core.catalogue``.
-      name_kind: names that its entries may have.
-      fields: its fields by key, in the order of files.
+      kind: the entry kind.
+      container: attribute of ``core.catalogue.Catalogue`` that maps names to
+        entries of this kind.
+      entry_type: dataclass in ``core.catalogue``.
+      name_kind: value kind that checks entry names.
+      fields: fields by key, in the order in which files list them.
     """
 
     kind: EntryKind
@@ -93,11 +93,11 @@
         return getattr(catalogue, self.container)
 
     def build(self, name: str, values: dict[str, Any]) -> Any:
-        """Makes an entry.
+        """Builds an entry.
 
         Args:
-          name: its name.
-          values: value of each field by key.
+          name: name of the entry.
+          values: field values by key.
 
         Returns:
           An object of ``entry_type``.
@@ -105,30 +105,30 @@
         arguments: dict[str, Any] = {"name": name}
         limits: dict[str, Any] = {}
         for key, value in values.items():
-            holder, _, attribute = self.fields[key].path.rpartition(".")
-            (limits if holder else arguments)[attribute] = value
+            parent, _, attribute = self.fields[key].path.rpartition(".")
+            (limits if parent else arguments)[attribute] = value
         if _LIMITS in self.entry_type.__dataclass_fields__:  # type: ignore
             arguments[_LIMITS] = catalogues.Limits(**limits)
-        _derive_owner_of(self.kind, arguments)
+        _fill_institution(self.kind, arguments)
         return self.entry_type(**arguments)
 
 
-def _derive_owner_of(kind: EntryKind, arguments: dict[str, Any]) -> None:
-    """Fills in the institution that a workspace's name already says."""
+def _fill_institution(kind: EntryKind, arguments: dict[str, Any]) -> None:
+    """Sets the institution that the name of the workspace determines."""
     if kind is EntryKind.WORKSPACE:
-        arguments["institution"] = get_institution(arguments["name"])
+        arguments["institution"] = parse_institution(arguments["name"])
     if kind is EntryKind.CREDENTIAL and not arguments.get("institution"):
-        arguments["institution"] = get_institution(arguments["workspace"])
+        arguments["institution"] = parse_institution(arguments["workspace"])
 
 
-def get_institution(workspace: str) -> str:
-    """Returns the institution in the name of a workspace, or empty."""
+def parse_institution(workspace: str) -> str:
+    """Returns the institution part of a workspace name, or empty."""
     institution, separator, _ = workspace.partition(NAME_SEPARATOR)
     return institution if separator else ""
 
 
 def find_institution(kind: EntryKind, entry: Any) -> str:
-    """Returns the institution that an entry belongs to; empty if shared."""
+    """Returns the institution that an entry belongs to, or empty if shared."""
     if kind is EntryKind.INSTITUTION:
         return entry.name
     if kind in (EntryKind.WORKSPACE, EntryKind.CREDENTIAL):
@@ -329,10 +329,10 @@
 def build_catalogue(
     revision: int, entries: list[tuple[EntrySchema, Any]]
 ) -> catalogues.Catalogue:
-    """Makes a catalogue of entries.
+    """Builds a catalogue from entries.
 
     Args:
-      revision: its revision.
+      revision: revision of the catalogue.
       entries: the entries with their schemas.
     """
     containers: dict[str, dict[str, Any]] = {}
--- a/rhubarblock/catalogue/scope.py
+++ b/rhubarblock/catalogue/scope.py
@@ -1,8 +1,9 @@
-"""What an institution's operators see and may change.
+"""Authorisation of operators: the entries they may see and change.
 
-Operators see their own entries and those that all share; they change only
-their own. What the contract settles (contract fields, weight, a higher limit)
-needs an administrator even on their own entry.
+Operators see the entries of their institution and the shared entries, and may
+change only those of their institution. Only an administrator may change what
+the contract fixes: the contract fields, the weight, and any increase of a
+limit.
 """
 
 import math
@@ -27,7 +28,7 @@
 def is_visible(
     schema: schemas.EntrySchema, entry: Any, institution: str
 ) -> bool:
-    """Says whether operators of an institution see an entry."""
+    """Returns whether operators of an institution may see an entry."""
     if schema.kind not in _OWNED_KINDS:
         return True
     return schemas.find_institution(schema.kind, entry) == institution
@@ -36,11 +37,12 @@
 def restrict(
     catalogue: catalogues.Catalogue, institution: str
 ) -> catalogues.Catalogue:
-    """Returns what operators of an institution see.
+    """Returns the part of a catalogue that is visible to an institution.
 
     Args:
-      catalogue: the whole catalogue.
-      institution: their institution; empty for an administrator.
+      catalogue: the complete catalogue.
+      institution: institution of the operator; empty for an administrator,
+        who sees everything.
     """
     if not institution:
         return catalogue
@@ -52,26 +54,26 @@
     return schemas.build_catalogue(catalogue.revision, entries)
 
 
-def replace_own(
+def replace_institution_entries(
     current: catalogues.Catalogue,
     other: catalogues.Catalogue,
     institution: str,
 ) -> catalogues.Catalogue:
-    """Takes the entries of an institution from another catalogue.
+    """Replaces the entries of an institution with those of another catalogue.
 
     Args:
-      current: gives every entry that is not the institution's.
-      other: gives the institution's entries.
-      institution: the institution; empty takes everything from ``other``.
+      current: source of all entries that do not belong to the institution.
+      other: source of the entries that belong to the institution.
+      institution: the institution; if empty, ``other`` is returned.
     """
     if not institution:
         return other
     entries = [
         (schema, entry)
-        for source, is_own in ((current, False), (other, True))
+        for source, is_institution_entry in ((current, False), (other, True))
         for schema, entry in schemas.iterate_entries(source)
         if (schemas.find_institution(schema.kind, entry) == institution)
-        is is_own
+        is is_institution_entry
     ]
     return schemas.build_catalogue(current.revision, entries)
 
@@ -81,16 +83,16 @@
     proposed: catalogues.Catalogue,
     institution: str,
 ) -> Merged:
-    """Puts the proposal of an operator into the whole catalogue.
+    """Merges an operator's proposal into the complete catalogue.
 
     Args:
-      current: the whole catalogue.
-      proposed: what the operator sent; entries that the operator does not see
-        may be left out.
-      institution: the operator's; empty for an administrator.
+      current: the complete catalogue.
+      proposed: the proposal; it may omit entries that the operator cannot see.
+      institution: institution of the operator; empty for an administrator.
 
     Returns:
-      The whole catalogue as proposed, or what the operator may not change.
+      The complete proposed catalogue, or an error for each change that the
+      operator is not authorised to make.
     """
     if not institution:
         return result.Success(proposed)
@@ -127,19 +129,19 @@
     schema = schemas.SCHEMAS[change.kind]
     old: Any = schema.get_entries(before).get(change.name)
     new: Any = schema.get_entries(after).get(change.name)
-    owners = {
+    institutions = {
         schemas.find_institution(schema.kind, entry)
         for entry in (old, new)
         if entry is not None
     }
-    if owners != {institution}:
+    if institutions != {institution}:
         message = f"is no entry of {institution}"
-        return [faults.report(change.kind, change.name, "", message)]
+        return [faults.make_error(change.kind, change.name, "", message)]
     if change.kind is not _Kind.INSTITUTION:
         return []
     if change.act is not diff.Act.CHANGED:
         return [
-            faults.report(change.kind, change.name, "", _ONLY_ADMINISTRATOR)
+            faults.make_error(change.kind, change.name, "", _ONLY_ADMINISTRATOR)
         ]
     return _check_own_institution(old, new)
 
@@ -155,14 +157,16 @@
     names += [
         name
         for name in _LIMIT_FIELDS
-        if _read_bound(new, name) > _read_bound(old, name)
+        if _get_upper_bound(new, name) > _get_upper_bound(old, name)
     ]
     return [
-        faults.report(_Kind.INSTITUTION, old.name, name, _ONLY_ADMINISTRATOR)
+        faults.make_error(
+            _Kind.INSTITUTION, old.name, name, _ONLY_ADMINISTRATOR
+        )
         for name in names
     ]
 
 
-def _read_bound(institution: catalogues.Institution, name: str) -> float:
-    """Returns a limit as a bound; 0 in a limit means that there is none."""
+def _get_upper_bound(institution: catalogues.Institution, name: str) -> float:
+    """Returns a limit as an upper bound; a limit of 0 is unlimited."""
     return getattr(institution.limits, name) or math.inf
--- a/rhubarblock/catalogue/scope_test.py
+++ b/rhubarblock/catalogue/scope_test.py
@@ -4,7 +4,7 @@
 from rhubarblock.catalogue import scope
 
 
-def test_operators_see_their_own_and_shared_entries():
+def test_operators_see_own_and_shared_entries():
     seen = scope.restrict(samples.parse(), "hofbauer")
     assert list(seen.institutions) == ["hofbauer"]
     assert list(seen.workspaces) == ["hofbauer/docks"]
@@ -12,15 +12,15 @@
     assert list(seen.places) == ["osu"]
 
 
-def test_a_change_of_own_entries_keeps_the_rest():
+def test_merge_keeps_entries_the_operator_cannot_see():
     current = samples.parse()
     wanted = samples.edit(("class = batch", "class = standard"))
     proposed = scope.restrict(wanted, "hofbauer")
     assert scope.merge(current, proposed, "hofbauer").unwrap() == wanted
 
 
-OWN = "is no entry of hofbauer"
-CONTRACT = "only an administrator may change this"
+NOT_OWN_ENTRY = "is no entry of hofbauer"
+ADMINISTRATOR_ONLY = "only an administrator may change this"
 DOCKS = "[workspace hofbauer/docks]"
 
 
@@ -30,31 +30,31 @@
         (
             "[place osu]\nowner = Fleet",
             "[place osu]\nowner = Me",
-            f"[place osu] {OWN}",
+            f"[place osu] {NOT_OWN_ENTRY}",
         ),
         (
             DOCKS,
             f"[workspace adwoa/mine]\nowner = x\nclass = batch\n{DOCKS}",
-            f"[workspace adwoa/mine] {OWN}",
+            f"[workspace adwoa/mine] {NOT_OWN_ENTRY}",
         ),
         (
             "[credential hofbauer-op]",
             "[credential admin]",
-            f"[credential admin] {OWN}",
+            f"[credential admin] {NOT_OWN_ENTRY}",
         ),
         (
             "role = operator\ninstitution = hofbauer",
             "role = administrator",
-            f"[credential hofbauer-op] {OWN}",
+            f"[credential hofbauer-op] {NOT_OWN_ENTRY}",
         ),
         (
             "owner = Dispatch",
             "owner = Dispatch\nweight = 9",
-            f"[institution hofbauer] weight: {CONTRACT}",
+            f"[institution hofbauer] weight: {ADMINISTRATOR_ONLY}",
         ),
     ],
 )
-def test_other_changes_are_refused(old, new, error):
+def test_unauthorised_changes_are_refused(old, new, error):
     current = samples.parse()
     text = samples.files.format_catalogue(scope.restrict(current, "hofbauer"))
     assert old in text
@@ -63,10 +63,12 @@
     assert [str(e) for e in refusal] == [error]
 
 
-def test_own_limits_may_only_fall():
+def test_operator_may_lower_but_not_raise_own_limits():
     current = samples.parse()
     lower = samples.edit(("\ntokens_per_s = 1000", "\ntokens_per_s = 900"))
     higher = samples.edit(("\ntokens_per_s = 1000", ""))
     assert scope.merge(current, lower, "adwoa").unwrap() == lower
     (error,) = scope.merge(current, higher, "adwoa").failure()
-    assert str(error) == f"[institution adwoa] tokens_per_s: {CONTRACT}"
+    assert (
+        str(error) == f"[institution adwoa] tokens_per_s: {ADMINISTRATOR_ONLY}"
+    )
--- a/rhubarblock/catalogue/validation_test.py
+++ b/rhubarblock/catalogue/validation_test.py
@@ -85,12 +85,12 @@
         ),
     ],
 )
-def test_each_fault_names_entry_and_field(old, new, error):
+def test_each_error_names_entry_and_field(old, new, error):
     catalogue = samples.edit((old, new))
     assert [str(e) for e in validation.validate(catalogue)] == [error]
 
 
-def test_values_made_by_programs_are_checked_too():
+def test_values_that_come_from_no_file_are_checked():
     place = catalogues.Place("not a name", "", "accra")
     limits = catalogues.Limits(requests_per_s=-1)
     institution = catalogues.Institution("x", "Board", limits)
@@ -133,14 +133,14 @@
         ),
     ],
 )
-def test_a_change_cannot_break_a_running_contract(pairs, error):
+def test_change_cannot_break_a_contract_in_force(pairs, error):
     before = samples.parse()
     after = samples.edit(*pairs)
     errors = validation.validate_change(before, after, TODAY)
     assert [str(e) for e in errors] == [error]
     ended = datetime.date(2030, 1, 1)
-    left = validation.validate_change(before, after, ended)
-    assert len(left) == (1 if "administrator" in error else 0)
+    remaining = validation.validate_change(before, after, ended)
+    assert len(remaining) == (1 if "administrator" in error else 0)
 
 
 @pytest.mark.parametrize(
@@ -167,16 +167,18 @@
         ),
     ],
 )
-def test_what_is_still_named_cannot_be_removed(section, error):
+def test_referenced_entry_cannot_be_removed(section, error):
     before = samples.parse()
-    after = samples.cut(section)
+    after = samples.remove_sections(section)
     errors = validation.validate_change(before, after, TODAY)
     assert [str(e) for e in errors] == [error]
 
 
-def test_an_institution_under_contract_cannot_be_removed():
+def test_institution_with_contract_cannot_be_removed():
     before = samples.parse()
-    after = samples.cut("institution adwoa", "workspace adwoa/claims")
+    after = samples.remove_sections(
+        "institution adwoa", "workspace adwoa/claims"
+    )
     errors = validation.validate_change(before, after, TODAY)
     assert str(errors[0]) == (
         "[institution adwoa] cannot be removed: its contract runs until "
@@ -184,7 +186,7 @@
     )
 
 
-def test_raising_a_limit_is_allowed():
+def test_limit_may_be_raised():
     before = samples.parse()
     institution = before.institutions["adwoa"]
     limits = catalogues.Limits(tokens_per_s=2000)
