--- a/rhubarblock/loganalysis/__init__.py
+++ b/rhubarblock/loganalysis/__init__.py
@@ -1,7 +1,7 @@
-"""Reads the logs of instances back: which lines, which requests, what was lost.
+"""Analyses instance logs: which requests were not served in time, and why.
 
-Others use ``lines`` (single lines), ``counters`` of the command line, and
-``losses`` (all requests that fared badly). Read on in ``stories`` (the lines of
-one request), ``causes`` (why it fared badly), ``summary`` (sums over a day) and
-``pictures``.
+``lines`` parses single log lines, ``requesttraces`` groups them by request,
+``causes`` classifies each request, ``summary`` counts the losses and ``charts``
+draws them. The commands ``counts``, ``explain`` and ``losses`` use this
+package.
 """
--- a/rhubarblock/loganalysis/causes.py
+++ b/rhubarblock/loganalysis/causes.py
@@ -1,29 +1,31 @@
-"""Why a request was late, refused, failed, cut or moved."""
+"""Classifies requests that were late, refused, failed, cut or moved."""
 
 import dataclasses
 import enum
 
 from rhubarblock.exchange import outcomes
 from rhubarblock.loganalysis import lines as log_lines
-from rhubarblock.loganalysis import stories
-
-# Seconds after its start in which an instance still fills its books.
-START_S = 1.0
-# A first event is later than predicted from this many seconds on, and from this
-# part of the prediction.
-LATER_S = 0.2
-LATER_PART = 0.5
-# Shortest prompt, in tokens, whose reading delays others that anyone would
-# notice.
-READING_TOKENS = 16_000
-# Codes of failures that are the caller's own.
-_OF_CALLER = frozenset({"unknown_service", "unauthenticated", "body_too_large"})
-_NOT_CONFIRMED = "platform_unavailable"
-_NOT_RUN = "NOT_RUN"
+from rhubarblock.loganalysis import requesttraces
+
+# Seconds after its start in which an instance still loads configuration and
+# endpoint state.
+STARTUP_S = 1.0
+# A first event counts as later than predicted if the delay exceeds both this
+# many seconds and this share of the prediction.
+MIN_EXCESS_S = 0.2
+MIN_EXCESS_RATIO = 0.5
+# Shortest prompt, in tokens, whose prefill delays other requests noticeably.
+MIN_BLOCKING_TOKENS = 16_000
+# Failure codes for errors of the caller, which are not counted as losses.
+_CALLER_ERROR_CODES = frozenset(
+    {"unknown_service", "unauthenticated", "body_too_large"}
+)
+_NOT_CONFIRMED_CODE = "platform_unavailable"
+_NOT_RUN_VERDICT = "NOT_RUN"
 
 
 class Kind(enum.Enum):
-    """How a request fared."""
+    """How a request was lost."""
 
     LATE = "late"
     REFUSED = "refused"
@@ -33,7 +35,7 @@
 
 
 class Cause(enum.Enum):
-    """Why."""
+    """Why a request was lost."""
 
     NO_CONNECTION = "no connection could be opened"
     ENGINE_REFUSED = "an engine refused it"
@@ -52,8 +54,9 @@
     TIME_OVER = "its time was over"
 
 
-# What reasons in the log mean; the first text found in a reason counts.
-_REASONS = (
+# Causes by a substring of the logged reason; the first match counts. The texts
+# cover the log messages of all builds.
+_CAUSES_BY_REASON = (
     ("Cannot connect", Cause.NO_CONNECTION),
     ("Connection timeout", Cause.NO_CONNECTION),
     ("refused it", Cause.ENGINE_REFUSED),
@@ -70,18 +73,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Loss:
-    """A request that fared badly.
+    """A request that was late, refused, failed, cut or moved.
 
     Attributes:
-      at_s: when it arrived.
-      request: its id.
-      instance: where it was.
-      kind: how it fared.
-      cause: why.
-      band: length of its prompt.
-      workspace: whose it was; empty where it was not placed.
-      data_centre: of the last endpoint that it went to; empty without one.
-      detail: what is known besides.
+      at_s: arrival time in seconds, on the clock of the log.
+      request: id of the request.
+      instance: instance that received the request.
+      kind: how the request was lost.
+      cause: why the request was lost.
+      band: band of the prompt's length.
+      workspace: workspace of the caller; empty if the request was not placed.
+      data_centre: data centre of the last endpoint that the request was sent
+        to; empty if there was none.
+      detail: additional information for people, or empty.
     """
 
     at_s: float
@@ -95,89 +99,98 @@
     detail: str
 
 
-def judge(story: stories.Story, day: stories.Day) -> Loss | None:
-    """Returns what was lost with a request, or None if it fared well.
+def classify(
+    trace: requesttraces.RequestTrace, index: requesttraces.LogIndex
+) -> Loss | None:
+    """Returns the loss of a request, or None if there is none.
+
+    There is none if the request was served in time by its first placement, or
+    if it failed because of an error of its caller.
 
     Args:
-      story: the request.
-      day: all requests.
+      trace: log lines of the request.
+      index: all requests in the logs.
     """
-    kind = _find_kind(story, day)
+    kind = _find_kind(trace, index)
     if kind is None:
         return None
-    cause, detail = _find_cause(story, day)
+    cause, detail = _find_cause(trace, index)
     return Loss(
-        round(story.arrived_s, 3),
-        story.request,
-        story.instance,
+        round(trace.arrived_s, 3),
+        trace.request,
+        trace.instance,
         kind,
         cause,
-        name_band(story.find_tokens()),
-        story.find("workspace"),
-        story.find("data_centre"),
+        name_band(trace.find_prompt_tokens()),
+        trace.find("workspace"),
+        trace.find("data_centre"),
         detail,
     )
 
 
 def name_band(tokens: int) -> str:
-    """Returns the name of a length of prompts."""
+    """Returns the band of a prompt length in tokens; "plain" for 0."""
     if not tokens:
         return "plain"
     bands = (name for most, name in outcomes.BANDS if tokens <= most)
     return next(bands, "longest")
 
 
-def _find_kind(story: stories.Story, day: stories.Day) -> Kind | None:
-    end = story.end
+def _find_kind(
+    trace: requesttraces.RequestTrace, index: requesttraces.LogIndex
+) -> Kind | None:
+    end = trace.end
     if end is None:
-        return Kind.CUT if day.lost_instance(story) else Kind.FAILED
-    if end.message == stories.SERVED_LATE:
+        return Kind.CUT if index.has_lost_instance(trace) else Kind.FAILED
+    if end.message == requesttraces.SERVED_LATE:
         return Kind.LATE
-    if end.message == stories.SERVED:
+    if end.message == requesttraces.SERVED:
         moved = [
             x
-            for x in story.lines
+            for x in trace.lines
             if x.fields.get("outcome") == Kind.MOVED.value
         ]
         return Kind.MOVED if moved else None
-    if end.fields.get("code") in _OF_CALLER:
+    if end.fields.get("code") in _CALLER_ERROR_CODES:
         return None
     if end.fields.get("begun"):
         return Kind.CUT
-    is_refused = end.fields.get("verdict") == _NOT_RUN
+    is_refused = end.fields.get("verdict") == _NOT_RUN_VERDICT
     return Kind.REFUSED if is_refused else Kind.FAILED
 
 
-def _find_cause(story: stories.Story, day: stories.Day) -> tuple[Cause, str]:
-    """Returns the cause, and what is known besides."""
-    end = story.end
+def _find_cause(
+    trace: requesttraces.RequestTrace, index: requesttraces.LogIndex
+) -> tuple[Cause, str]:
+    """Returns the cause and a detail text."""
+    end = trace.end
     if end is None:
-        if day.lost_instance(story):
+        if index.has_lost_instance(trace):
             return Cause.INSTANCE_LOST, ""
         return Cause.CALLER_GONE, ""
-    start_s = day.find_start(story.instance, story.arrived_s)
-    is_new = start_s is not None and story.arrived_s - start_s < START_S
-    if end.fields.get("code") == _NOT_CONFIRMED:
-        if is_new or start_s is None:
+    start_s = index.find_last_start(trace.instance, trace.arrived_s)
+    is_starting = start_s is not None and trace.arrived_s - start_s < STARTUP_S
+    if end.fields.get("code") == _NOT_CONFIRMED_CODE:
+        if is_starting or start_s is None:
             return Cause.JUST_STARTED, ""
         return Cause.NOT_CONFIRMED, ""
-    attempts = story.list_attempts()
+    attempts = trace.list_failed_attempts()
     if attempts:
-        # A failure was sealed by the last attempt, lateness began with the
-        # first one.
-        is_failed = end.message == stories.FAILED
-        return read_reason(attempts[-1 if is_failed else 0])
-    if end.message == stories.FAILED:
-        return read_reason(end)
-    if is_new:
+        # The last attempt decides a failure; the first failed attempt causes
+        # the delay of a request that was served late.
+        is_failed = end.message == requesttraces.FAILED
+        return parse_reason(attempts[-1 if is_failed else 0])
+    if end.message == requesttraces.FAILED:
+        return parse_reason(end)
+    if is_starting:
         return Cause.JUST_STARTED, ""
-    return _explain_lateness(story, end, day)
+    return _find_lateness_cause(trace, end, index)
 
 
-def read_reason(line: log_lines.Line) -> tuple[Cause, str]:
-    """Returns what the reason in a line means, and what is known besides."""
+def parse_reason(line: log_lines.Line) -> tuple[Cause, str]:
+    """Returns the cause of the reason in a log line, and a detail text."""
     reason = str(line.fields.get("reason", ""))
-    found = [cause for text, cause in _REASONS if text in reason]
+    found = [cause for text, cause in _CAUSES_BY_REASON if text in reason]
     cause = found[0] if found else Cause.ENDPOINT_LOST
     parts = int(line.fields.get("parts") or 1)
     if cause is Cause.ENGINE_REFUSED and parts > 1:
@@ -185,50 +198,56 @@
     return cause, reason
 
 
-def _explain_lateness(
-    story: stories.Story, end: log_lines.Line, day: stories.Day
+def _find_lateness_cause(
+    trace: requesttraces.RequestTrace,
+    end: log_lines.Line,
+    index: requesttraces.LogIndex,
 ) -> tuple[Cause, str]:
-    """Returns why a request was late that one attempt served."""
-    placed = story.list_placements()
+    """Returns why a request was served late although no attempt failed."""
+    placed = trace.list_placement_lines()
     if not placed:
         return Cause.SLOW, ""
     expected_s = float(placed[-1].fields.get("expected_s") or 0.0)
     first_s = float(end.fields.get("first_s") or 0.0)
-    since_s = float(placed[-1].fields.get("since_arrival_s") or 0.0)
-    engines = stories.list_engines(placed[-1])
-    begun_s = story.arrived_s + first_s
-    later_s = first_s - since_s - expected_s
-    if later_s > max(LATER_S, LATER_PART * expected_s):
-        other = _find_reading(day, story, engines, placed[-1].at_s, begun_s)
-        if other:
-            return Cause.OVERTAKEN, _describe(other)
-        return Cause.SLOW, f"{later_s:.2f} s later than predicted"
+    placed_after_s = float(placed[-1].fields.get("since_arrival_s") or 0.0)
+    engines = requesttraces.list_engines(placed[-1])
+    first_event_s = trace.arrived_s + first_s
+    excess_s = first_s - placed_after_s - expected_s
+    if excess_s > max(MIN_EXCESS_S, MIN_EXCESS_RATIO * expected_s):
+        prefill = _find_longest_prefill(
+            index, trace, engines, placed[-1].at_s, first_event_s
+        )
+        if prefill:
+            return Cause.OVERTAKEN, _describe(prefill)
+        return Cause.SLOW, f"{excess_s:.2f} s later than predicted"
     pause_s = float(end.fields.get("longest_pause_s") or 0.0)
     if pause_s > first_s or pause_s > float(end.fields.get("pause_s") or 1e9):
-        other = _find_reading(day, story, engines[:1], begun_s, end.at_s)
-        return Cause.PAUSED, _describe(other) if other else ""
+        prefill = _find_longest_prefill(
+            index, trace, engines[:1], first_event_s, end.at_s
+        )
+        return Cause.PAUSED, _describe(prefill) if prefill else ""
     return Cause.NO_BETTER_PLACE, f"{expected_s:.2f} s were predicted"
 
 
-def _find_reading(
-    day: stories.Day,
-    story: stories.Story,
+def _find_longest_prefill(
+    index: requesttraces.LogIndex,
+    trace: requesttraces.RequestTrace,
     engines: list[str],
     after_s: float,
     before_s: float,
-) -> stories.Placement | None:
-    """Returns the longest other prompt that engines got between two moments."""
+) -> requesttraces.Placement | None:
+    """Returns the longest other prompt placed on engines in a time range."""
     found = [
         placement
         for engine in engines
-        for placement in day.list_placements(engine, after_s, before_s)
-        if placement.request != story.request
-        and placement.tokens >= READING_TOKENS
+        for placement in index.list_placements(engine, after_s, before_s)
+        if placement.request != trace.request
+        and placement.tokens >= MIN_BLOCKING_TOKENS
     ]
     return max(found, key=lambda placement: placement.tokens, default=None)
 
 
-def _describe(placement: stories.Placement) -> str:
+def _describe(placement: requesttraces.Placement) -> str:
     return (
         f"by {placement.request} of {placement.tokens} tokens "
         f"in {placement.parts} parts"
--- a/rhubarblock/loganalysis/lines.py
+++ b/rhubarblock/loganalysis/lines.py
@@ -1,6 +1,7 @@
-"""Lines of the logs of instances.
+"""Parses log lines of instances.
 
-They are lines of JSON, plain or behind a time and an instance's name.
+A line is a JSON object, optionally preceded by a time in seconds and the name
+of the instance.
 """
 
 from collections.abc import Iterable
@@ -12,18 +13,18 @@
 from typing import Any
 
 _PREFIX = re.compile(r"^\s*(?:(-?\d+(?:\.\d+)?)\s+(\S+)\s+)?(\{.*\})\s*$")
-_OWN_FIELDS = ("time", "level", "logger", "message")
+_HEADER_FIELDS = ("time", "level", "logger", "message")
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Line:
-    """One line of a log.
+    """One log line.
 
     Attributes:
-      at_s: moment in seconds; only differences count.
-      instance: who wrote it.
-      message: what happened.
-      fields: the rest.
+      at_s: time in seconds; only differences are meaningful.
+      instance: instance that wrote the line.
+      message: text of the log message.
+      fields: all other fields of the JSON object.
     """
 
     at_s: float
@@ -33,20 +34,20 @@
 
     @property
     def request(self) -> str:
-        """The request that it is about, or empty."""
+        """Id of the request that the line concerns, or empty."""
         return str(self.fields.get("request", ""))
 
     def __str__(self) -> str:
-        rest = " ".join(f"{k}={v}" for k, v in self.fields.items())
-        return f"{self.at_s:10.3f} {self.instance:20} {self.message}: {rest}"
+        others = " ".join(f"{k}={v}" for k, v in self.fields.items())
+        return f"{self.at_s:10.3f} {self.instance:20} {self.message}: {others}"
 
 
 def parse_line(text: str, source: str) -> Line | None:
-    """Reads one line; None if it is none of ours.
+    """Parses one line; returns None if it is not a log line of an instance.
 
     Args:
       text: the line.
-      source: name of its file, for lines that don't name their instance.
+      source: instance name for lines that don't contain one.
     """
     match = _PREFIX.match(text)
     if match is None:
@@ -57,17 +58,17 @@
         return None
     at_s = float(match[1]) if match[1] else _read_time(fields.get("time", ""))
     message = str(fields.get("message", ""))
-    for name in _OWN_FIELDS:
+    for name in _HEADER_FIELDS:
         fields.pop(name, None)
     return Line(at_s, match[2] or source, message, fields)
 
 
 @dataclasses.dataclass(slots=True)
 class Skipped:
-    """Lines that were passed over.
+    """Counts the lines that could not be parsed.
 
     Attributes:
-      count: lines of other writers, and lines that were cut.
+      count: number of lines from other programs and of truncated lines.
     """
 
     count: int = 0
@@ -76,11 +77,11 @@
 def read_lines(
     files: Iterable[pathlib.Path], skipped: Skipped | None = None
 ) -> Iterator[Line]:
-    """Gives the lines of log files, one after the other.
+    """Yields the parsed lines of log files, file by file.
 
     Args:
-      files: the logs.
-      skipped: counts the lines that are passed over.
+      files: the log files.
+      skipped: incremented for each line that could not be parsed.
     """
     skipped = skipped or Skipped()
     for path in files:
@@ -94,7 +95,7 @@
 
 
 def _read_time(text: str) -> float:
-    """Returns the seconds of a day that a line's time stands for."""
+    """Returns the time of day in a timestamp, in seconds; 0 if invalid."""
     match = re.search(r"(\d+):(\d+):(\d+)[,.](\d+)", text)
     if match is None:
         return 0.0
--- a/rhubarblock/loganalysis/summary.py
+++ b/rhubarblock/loganalysis/summary.py
@@ -1,4 +1,4 @@
-"""What was lost over a day, summed by cause, window, length and place."""
+"""Summarises losses by cause, time window, prompt length and origin."""
 
 import collections
 from collections.abc import Callable
@@ -10,27 +10,27 @@
 
 from rhubarblock.loganalysis import causes
 from rhubarblock.loganalysis import lines as log_lines
-from rhubarblock.loganalysis import stories
+from rhubarblock.loganalysis import requesttraces
 
 T = TypeVar("T")
 
-# Seconds of a window.
+# Length of a time window in seconds.
 WINDOW_S = 2.0
-# Windows, instances and workspaces that a table shows.
-SHOWN = 10
-_TAIL = 0.95
+# Rows that a table shows at most.
+MAX_ROWS = 10
+_TAIL_QUANTILE = 0.95
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Window:
-    """The losses of one stretch of time.
+    """Losses in one time window.
 
     Attributes:
-      from_s: where it begins.
-      requests: requests that arrived in it.
-      losses: how many fared badly, by cause.
-      placed: prompts that were placed in it, by length.
-      longest_tokens: the longest of them.
+      from_s: start of the window in seconds.
+      requests: number of requests that arrived in the window.
+      losses: number of lost requests, by cause.
+      placed: number of prompts placed in the window, by band of their length.
+      longest_tokens: length of the longest of these prompts in tokens.
     """
 
     from_s: float
@@ -41,19 +41,19 @@
 
     @property
     def lost(self) -> int:
-        """Requests that fared badly."""
+        """Number of lost requests."""
         return sum(self.losses.values())
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Prediction:
-    """Predicted against seen first events of one length of prompts.
+    """Error of the predicted time to the first event, for one length band.
 
     Attributes:
-      band: the length.
-      count: prompts that one attempt served.
-      middle_s: median of the error in seconds, either way.
-      tail_s: error that 95 in 100 keep, in seconds.
+      band: band of the prompt length.
+      count: number of prompts that were placed once and served.
+      middle_s: median of the absolute error in seconds.
+      tail_s: 95th percentile of the absolute error in seconds.
     """
 
     band: str
@@ -64,21 +64,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Summary:
-    """A day's losses.
+    """Summary of the losses in a set of logs.
+
+    The counts of each dictionary are in descending order.
 
     Attributes:
-      requests: requests that some line names.
-      skipped: lines that were passed over.
+      requests: number of requests that the logs name.
+      skipped: number of lines that could not be parsed.
       by_cause: losses by kind and cause.
-      by_band: losses by length of the prompt.
-      by_workspace: losses by workspace, the worst first.
+      by_band: losses by band of the prompt length.
+      by_workspace: losses by workspace.
       by_data_centre: losses by data centre of the endpoint.
-      by_instance: losses by cause and instance, the worst first.
-      attempts: attempts that gave no answer, by cause, whatever became of their
-        requests.
-      no_connection: attempts that could open no connection, by instance.
-      windows: all stretches of time in which something arrived.
-      predictions: how good predictions were, by length.
+      by_instance: losses by instance and cause.
+      attempts: attempts without a response by cause, including those of
+        requests that were served.
+      no_connection: attempts that could not open a connection, by instance.
+      windows: all time windows in which a request arrived.
+      predictions: errors of the predictions by band of the prompt length.
     """
 
     requests: int
@@ -95,35 +97,37 @@
 
 
 def summarise(
-    day: stories.Day, losses: list[causes.Loss], skipped: int
+    index: requesttraces.LogIndex, losses: list[causes.Loss], skipped: int
 ) -> Summary:
-    """Returns the sums.
+    """Returns the summary.
 
     Args:
-      day: all requests.
-      losses: what was lost.
-      skipped: lines that were passed over.
+      index: all requests in the logs.
+      losses: the lost requests.
+      skipped: number of lines that could not be parsed.
     """
-    attempts = [x for story in day.stories for x in story.list_attempts()]
+    attempts = [
+        x for trace in index.traces for x in trace.list_failed_attempts()
+    ]
     return Summary(
-        requests=len(day.stories),
+        requests=len(index.traces),
         skipped=skipped,
         by_cause=_count(losses, lambda x: f"{x.kind.value}: {x.cause.value}"),
         by_band=_count(losses, lambda x: x.band),
         by_workspace=_count(losses, lambda x: x.workspace),
         by_data_centre=_count(losses, lambda x: x.data_centre),
         by_instance=_count(losses, lambda x: f"{x.instance}: {x.cause.value}"),
-        attempts=_count(attempts, _name_attempt),
+        attempts=_count(attempts, _describe_attempt),
         no_connection=_count(
             (x for x in attempts if _lacks_connection(x)), lambda x: x.instance
         ),
-        windows=_list_windows(day, losses),
-        predictions=_list_predictions(day),
+        windows=_list_windows(index, losses),
+        predictions=_list_predictions(index),
     )
 
 
 def format_summary(summary: Summary) -> str:
-    """Returns the tables as text."""
+    """Returns the summary as text tables."""
     lines = [
         f"{summary.requests} requests, "
         f"{sum(summary.by_cause.values())} fared badly, "
@@ -149,14 +153,14 @@
     return "\n".join(lines) + "\n"
 
 
-def _name_attempt(line: log_lines.Line) -> str:
-    cause, _ = causes.read_reason(line)
-    is_parted = int(line.fields.get("parts") or 1) > 1
-    return f"{cause.value}, {'in parts' if is_parted else 'whole'}"
+def _describe_attempt(line: log_lines.Line) -> str:
+    cause, _ = causes.parse_reason(line)
+    is_split = int(line.fields.get("parts") or 1) > 1
+    return f"{cause.value}, {'in parts' if is_split else 'whole'}"
 
 
 def _lacks_connection(line: log_lines.Line) -> bool:
-    return causes.read_reason(line)[0] is causes.Cause.NO_CONNECTION
+    return causes.parse_reason(line)[0] is causes.Cause.NO_CONNECTION
 
 
 def _count(items: Iterable[T], name: Callable[[T], str]) -> dict[str, int]:
@@ -164,16 +168,20 @@
     return dict(sorted(counted.items(), key=lambda item: (-item[1], item[0])))
 
 
-def _list_windows(day: stories.Day, losses: list[causes.Loss]) -> list[Window]:
+def _list_windows(
+    index: requesttraces.LogIndex, losses: list[causes.Loss]
+) -> list[Window]:
     requests = collections.Counter(
-        _find_window(story.arrived_s) for story in day.stories
+        _find_window_start(trace.arrived_s) for trace in index.traces
     )
     lost: dict[float, list[causes.Loss]] = {}
     for loss in losses:
-        lost.setdefault(_find_window(loss.at_s), []).append(loss)
-    placed: dict[float, list[stories.Placement]] = {}
-    for placement in day.placed:
-        placed.setdefault(_find_window(placement.at_s), []).append(placement)
+        lost.setdefault(_find_window_start(loss.at_s), []).append(loss)
+    placed: dict[float, list[requesttraces.Placement]] = {}
+    for placement in index.placements:
+        placed.setdefault(_find_window_start(placement.at_s), []).append(
+            placement
+        )
     return [
         Window(
             from_s,
@@ -190,23 +198,29 @@
     ]
 
 
-def _find_window(at_s: float) -> float:
+def _find_window_start(at_s: float) -> float:
     return WINDOW_S * math.floor(at_s / WINDOW_S)
 
 
-def _list_predictions(day: stories.Day) -> list[Prediction]:
+def _list_predictions(index: requesttraces.LogIndex) -> list[Prediction]:
     errors: dict[str, list[float]] = {}
-    for story in day.stories:
-        end = story.end
-        placed = story.list_placements()
-        if end is None or end.message == stories.FAILED or len(placed) != 1:
+    for trace in index.traces:
+        end = trace.end
+        placed = trace.list_placement_lines()
+        if (
+            end is None
+            or end.message == requesttraces.FAILED
+            or len(placed) != 1
+        ):
             continue
-        tokens = story.find_tokens()
+        tokens = trace.find_prompt_tokens()
         first_s = float(end.fields.get("first_s") or 0.0)
         if not tokens or not first_s:
             continue
-        since_s = float(placed[0].fields.get("since_arrival_s") or 0.0)
-        expected_s = since_s + float(placed[0].fields.get("expected_s") or 0.0)
+        placed_after_s = float(placed[0].fields.get("since_arrival_s") or 0.0)
+        expected_s = placed_after_s + float(
+            placed[0].fields.get("expected_s") or 0.0
+        )
         band = causes.name_band(tokens)
         errors.setdefault(band, []).append(abs(first_s - expected_s))
     return [
@@ -214,23 +228,25 @@
             band,
             len(found),
             statistics.median(found),
-            sorted(found)[min(len(found) - 1, int(_TAIL * len(found)))],
+            sorted(found)[
+                min(len(found) - 1, int(_TAIL_QUANTILE * len(found)))
+            ],
         )
         for band, found in sorted(errors.items())
     ]
 
 
 def _format_counts(counts: dict[str, int]) -> list[str]:
-    shown = list(counts.items())[:SHOWN]
+    shown = list(counts.items())[:MAX_ROWS]
     lines = [f"  {count:6}  {name}" for name, count in shown]
-    rest = sum(counts.values()) - sum(count for _, count in shown)
-    if rest:
-        lines.append(f"  {rest:6}  others")
+    remainder = sum(counts.values()) - sum(count for _, count in shown)
+    if remainder:
+        lines.append(f"  {remainder:6}  others")
     return lines or ["       -"]
 
 
 def _format_windows(windows: list[Window]) -> list[str]:
-    worst = sorted(windows, key=lambda w: (-w.lost, w.from_s))[:SHOWN]
+    worst = sorted(windows, key=lambda w: (-w.lost, w.from_s))[:MAX_ROWS]
     return [
         f"  {w.from_s:8.1f} s  {w.lost} of {w.requests} lost ("
         + ", ".join(f"{name} {count}" for name, count in w.losses.items())
