--- a/rhubarblock/standins/__init__.py
+++ b/rhubarblock/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests and experiments."""
+"""Stand-ins for the external systems, for tests and experiments."""
--- a/rhubarblock/standins/engine/__init__.py
+++ b/rhubarblock/standins/engine/__init__.py
@@ -1,7 +1,8 @@
-"""Stand-ins of model engines.
+"""Stand-ins for model engines.
 
-Others use ``engine`` (an engine in memory), ``server`` (the same over HTTP) or
-``passes`` (a model of an engine that works in passes). Read on in ``run``,
-``batch``, ``cost``, ``memory``, ``cache``, ``exports`` and ``imports``,
-``output`` and ``faults``; ``testing`` sets engines up in tests.
+Entry points are ``engine`` (an engine in memory), ``server`` (the same engine
+over HTTP) and ``passes`` (a simpler model of an engine that works in passes).
+``run``, ``batch``, ``cost``, ``memory``, ``cache``, ``exports``, ``imports``,
+``output`` and ``faults`` implement the engine; ``testing`` has helpers that
+set up engines in tests.
 """
--- a/rhubarblock/standins/engine/batch.py
+++ b/rhubarblock/standins/engine/batch.py
@@ -1,8 +1,8 @@
-"""Who runs in the next iteration of the stand-in engine.
+"""Selects the attempts of the next iteration of the stand-in engine.
 
-Waiting attempts, prompts being computed and decodes are each kept in the
-order of priority, then arrival. An attempt without memory waits for all those
-before it, so that a large one is never starved by small ones behind it.
+Waiting attempts and prefills are ordered by priority, then arrival. An attempt
+without memory waits for all attempts before it, so that small attempts behind
+a large one never starve it.
 """
 
 import bisect
@@ -13,7 +13,7 @@
 _WAITING = enginerequest.Phase.WAITING
 
 
-class Grant:
+class PrefillChunk:
     """Prompt tokens that one attempt computes in an iteration."""
 
     __slots__ = ("request", "tokens")
@@ -23,39 +23,39 @@
         self.tokens = tokens
 
 
-class Plan:
-    """One iteration.
+class IterationPlan:
+    """Work of one iteration.
 
     Attributes:
       decoders: attempts that generate one token each.
-      grants: prompt tokens to compute.
+      prefill_chunks: prompt tokens to compute for each attempt.
     """
 
-    __slots__ = ("decoders", "grants")
+    __slots__ = ("decoders", "prefill_chunks")
 
     def __init__(
         self,
         decoders: list[enginerequest.EngineRequest],
-        grants: list[Grant],
+        prefill_chunks: list[PrefillChunk],
     ):
         self.decoders = decoders
-        self.grants = grants
+        self.prefill_chunks = prefill_chunks
 
 
 class Batch:
-    """The attempts of an engine by what they do.
+    """The attempts of an engine by phase.
 
     Attributes:
       waiting: number of attempts that wait for memory.
-      decoding: attempts that generate, in the order in which they began.
-      prefilling: attempts whose prompt is computed, in their order.
+      decoding: attempts that decode, in the order in which they started to.
+      prefilling: attempts whose prompt is being computed, in scheduling order.
     """
 
-    __slots__ = ("_heap", "decoding", "prefilling", "waiting")
+    __slots__ = ("_waiting_heap", "decoding", "prefilling", "waiting")
 
     def __init__(self) -> None:
-        # Those that were cancelled stay in the heap until they come up.
-        self._heap: list[
+        # Cancelled attempts stay in the heap until they reach its top.
+        self._waiting_heap: list[
             tuple[tuple[int, int], enginerequest.EngineRequest]
         ] = []
         self.waiting = 0
@@ -64,18 +64,21 @@
 
     def add_waiting(self, request: enginerequest.EngineRequest) -> None:
         """Adds an attempt that has no memory yet."""
-        heapq.heappush(self._heap, (request.order, request))
+        heapq.heappush(self._waiting_heap, (request.sort_key, request))
         self.waiting += 1
 
     def peek_waiting(self) -> enginerequest.EngineRequest | None:
         """Returns the first attempt without memory, or None."""
-        while self._heap and self._heap[0][1].phase is not _WAITING:
-            heapq.heappop(self._heap)
-        return self._heap[0][1] if self._heap else None
+        while (
+            self._waiting_heap
+            and self._waiting_heap[0][1].phase is not _WAITING
+        ):
+            heapq.heappop(self._waiting_heap)
+        return self._waiting_heap[0][1] if self._waiting_heap else None
 
     def pop_waiting(self) -> None:
-        """Takes out the attempt that ``peek_waiting`` returned."""
-        heapq.heappop(self._heap)
+        """Removes the attempt that ``peek_waiting`` returned."""
+        heapq.heappop(self._waiting_heap)
         self.waiting -= 1
 
     def add_prefill(self, request: enginerequest.EngineRequest) -> None:
@@ -84,11 +87,11 @@
         bisect.insort(
             self.prefilling,
             request,
-            key=lambda each: each.order,
+            key=lambda each: each.sort_key,
         )
 
     def add_decode(self, request: enginerequest.EngineRequest) -> None:
-        """Adds an attempt that generates."""
+        """Adds an attempt that decodes."""
         request.phase = enginerequest.Phase.DECODING
         self.decoding[request] = None
 
@@ -97,7 +100,7 @@
         request: enginerequest.EngineRequest,
         phase: enginerequest.Phase = enginerequest.Phase.GONE,
     ) -> None:
-        """Takes an attempt out and sets what it does instead."""
+        """Removes an attempt and sets its new phase."""
         if request.phase is _WAITING:
             self.waiting -= 1
         elif request.phase is enginerequest.Phase.PREFILLING:
@@ -107,18 +110,24 @@
         request.phase = phase
 
     def list_decoders(self) -> list[enginerequest.EngineRequest]:
-        """Returns the attempts that can generate a token now."""
-        return [request for request in self.decoding if not request.stalled]
-
-    def grant(self, limit: int) -> list[Grant]:
-        """Returns who computes how much of its prompt, up to a limit."""
-        grants = []
+        """Returns the decoding attempts that no stalled source holds up."""
+        return [
+            request for request in self.decoding if not request.stalled_sources
+        ]
+
+    def schedule_prefill(self, limit: int) -> list[PrefillChunk]:
+        """Returns the prompt tokens to compute for each attempt.
+
+        Args:
+          limit: maximum number of prompt tokens in total.
+        """
+        prefill_chunks = []
         for request in self.prefilling:
-            if request.stalled:
+            if request.stalled_sources:
                 continue
-            tokens = min(limit, request.remaining)
-            if tokens < request.remaining and not tokens:
+            tokens = min(limit, request.remaining_tokens)
+            if tokens < request.remaining_tokens and not tokens:
                 break
             limit -= tokens
-            grants.append(Grant(request, tokens))
-        return grants
+            prefill_chunks.append(PrefillChunk(request, tokens))
+        return prefill_chunks
--- a/rhubarblock/standins/engine/cache.py
+++ b/rhubarblock/standins/engine/cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the stand-in engine, and the events it publishes."""
+"""Prefix cache of the stand-in engine and the events that it publishes."""
 
 import collections
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 from rhubarblock.kernel import timers
 from rhubarblock.standins.engine import settings as enginesettings
 
-MAX_EVENTS = 50_000  # Events kept for readers; older ones show as a gap.
+MAX_EVENTS = 50_000  # Readers see a gap in place of older events.
 
 
 class CacheEventLog:
-    """Numbers cache events and shows them late, without a few of them."""
+    """Log of numbered cache events, which are delayed and sometimes lost."""
 
-    __slots__ = ("_events", "_next", "_rng", "_settings", "_timers")
+    __slots__ = ("_events", "_next_sequence", "_rng", "_settings", "_timers")
 
     def __init__(
         self,
@@ -25,32 +25,33 @@
         self._timers = clock
         self._rng = rng
         self._settings = settings
-        # Each entry is the time at which the event shows, and the event or
-        # None where it is lost; positions follow the sequence numbers.
+        # Each entry holds the time from which the event can be read, and the
+        # event, or None if it is lost. Sequence numbers of neighbouring
+        # entries are consecutive.
         self._events: collections.deque[
             tuple[float, attempts.CacheEvent | None]
         ] = collections.deque(maxlen=MAX_EVENTS)
-        self._next = 1
+        self._next_sequence = 1
 
     def append(self, block: str, stored: bool) -> None:
-        """Records that a block was cached or dropped just now."""
+        """Records that a block was stored (or else evicted) just now."""
         event: attempts.CacheEvent | None = attempts.CacheEvent(
-            self._next, block, stored
+            self._next_sequence, block, stored
         )
         if self._rng.random() < self._settings.event_loss:
             event = None
-        shown_s = self._timers.read_monotonic() + self._settings.event_lag_s
-        self._events.append((shown_s, event))
-        self._next += 1
+        visible_s = self._timers.read_monotonic() + self._settings.event_lag_s
+        self._events.append((visible_s, event))
+        self._next_sequence += 1
 
     def read(self, after: int) -> list[attempts.CacheEvent]:
-        """Returns the events after a sequence number that show by now."""
+        """Returns the visible events after a sequence number."""
         now_s = self._timers.read_monotonic()
-        first = self._next - len(self._events)
+        first = self._next_sequence - len(self._events)
         found = []
         for position in range(max(0, after + 1 - first), len(self._events)):
-            shown_s, event = self._events[position]
-            if shown_s > now_s:
+            visible_s, event = self._events[position]
+            if visible_s > now_s:
                 break
             if event is not None:
                 found.append(event)
@@ -58,35 +59,36 @@
 
 
 class PrefixCache:
-    """Blocks of prompts: pinned while a request holds them, else idle."""
+    """Prefix blocks, pinned while requests hold them and idle otherwise."""
 
-    __slots__ = ("_idle", "_pins", "_record")
+    __slots__ = ("_idle", "_on_change", "_pins")
 
-    def __init__(self, record: Callable[[str, bool], None]):
+    def __init__(self, on_change: Callable[[str, bool], None]):
         """Creates an empty cache.
 
         Args:
-          record: called with a block and whether it was stored or dropped.
+          on_change: called with a block and whether it was stored, as opposed
+            to evicted.
         """
-        self._record = record
+        self._on_change = on_change
         self._pins: dict[str, int] = {}
-        # In the order of last use, the least recent first.
+        # In order of last use, least recently used first.
         self._idle: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     @property
     def pinned_tokens(self) -> int:
-        """Tokens of the blocks that requests hold."""
+        """Tokens of the blocks that requests hold; each block counts once."""
         return len(self._pins) * enginesettings.BLOCK_TOKENS
 
     @property
     def idle_tokens(self) -> int:
-        """Tokens of the blocks that can be dropped at once."""
+        """Tokens of the blocks that can be evicted."""
         return len(self._idle) * enginesettings.BLOCK_TOKENS
 
     def count_leading(self, blocks: tuple[str, ...]) -> int:
-        """Returns how many of the blocks, from the first on, are cached."""
+        """Returns how many leading blocks are cached."""
         count = 0
         for block in blocks:
             if block not in self._pins and block not in self._idle:
@@ -95,11 +97,11 @@
         return count
 
     def count_idle(self, blocks: tuple[str, ...]) -> int:
-        """Returns how many of the blocks are cached and held by nobody."""
+        """Returns how many of the blocks are cached but not pinned."""
         return sum(block in self._idle for block in blocks)
 
     def pin(self, block: str) -> None:
-        """Holds a block, storing it first where it isn't cached."""
+        """Pins a block, storing it first if it isn't cached."""
         pins = self._pins.get(block, 0)
         self._pins[block] = pins + 1
         if pins:
@@ -107,10 +109,10 @@
         if block in self._idle:
             del self._idle[block]
         else:
-            self._record(block, True)
+            self._on_change(block, True)
 
     def unpin(self, block: str) -> None:
-        """Gives up one hold; the last one makes the block idle."""
+        """Removes one pin of a block; without pins the block becomes idle."""
         pins = self._pins[block] - 1
         if pins:
             self._pins[block] = pins
@@ -118,7 +120,7 @@
         del self._pins[block]
         self._idle[block] = None
 
-    def drop_oldest(self) -> None:
-        """Drops the idle block that was used least recently."""
+    def evict_oldest(self) -> None:
+        """Evicts the idle block that was used least recently."""
         block, _ = self._idle.popitem(last=False)
-        self._record(block, False)
+        self._on_change(block, False)
--- a/rhubarblock/standins/engine/cache_test.py
+++ b/rhubarblock/standins/engine/cache_test.py
@@ -10,7 +10,7 @@
 from rhubarblock.standins.engine import testing
 
 
-def test_events_show_late():
+def test_events_become_visible_after_the_lag():
     async def main():
         clock = timers.LoopTimers(wall_offset_s=0.0)
         settings = enginesettings.EngineSettings(event_loss=0.0)
@@ -24,16 +24,16 @@
         return early, log.read(0), log.read(1), log.read(2)
 
     stored = attempts.CacheEvent(1, "b0", True)
-    dropped = attempts.CacheEvent(2, "b0", False)
+    evicted = attempts.CacheEvent(2, "b0", False)
     assert virtualloop.run(main()) == (
         [stored],
-        [stored, dropped],
-        [dropped],
+        [stored, evicted],
+        [evicted],
         [],
     )
 
 
-def test_about_one_event_in_a_hundred_leaves_a_gap():
+def test_about_one_event_in_a_hundred_is_lost_and_leaves_a_gap():
     async def main():
         clock = timers.LoopTimers(wall_offset_s=0.0)
         settings = enginesettings.EngineSettings()
@@ -49,7 +49,7 @@
     assert all(event.block == f"b{event.sequence - 1}" for event in events)
 
 
-def test_an_engine_publishes_what_it_stores_and_drops():
+def test_an_engine_publishes_stored_and_evicted_blocks():
     async def body(bench):
         for name in "ab":
             blocks = testing.make_blocks(name, 2)
--- a/rhubarblock/standins/engine/cluster.py
+++ b/rhubarblock/standins/engine/cluster.py
@@ -1,4 +1,4 @@
-"""Engines in one process, and a client that reaches them without sockets."""
+"""Engines in one process and a client that calls them without sockets."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -16,7 +16,7 @@
 
 
 class EngineCluster(engineexport.KvTransport):
-    """Engines by address, which read each other's KV cache in memory."""
+    """Engines by address that read each other's KV cache in memory."""
 
     __slots__ = ("_engines",)
 
@@ -24,12 +24,12 @@
         self._engines: dict[str, engines.Engine] = {}
 
     def add(self, engine: engines.Engine) -> None:
-        """Adds an engine and lets it read from the others."""
+        """Adds an engine and makes it read exports within the cluster."""
         self._engines[engine.address] = engine
         engine.connect(self)
 
     def remove(self, address: str) -> None:
-        """Takes an engine out; it isn't stopped."""
+        """Removes an engine without stopping it."""
         del self._engines[address]
 
     def get(self, address: str) -> engines.Engine | None:
@@ -59,11 +59,10 @@
 
 
 class MemoryEngineClient(engineclient.EngineClient):
-    """Client of the engines in a cluster, as one entry instance has it.
+    """Client of the engines in a cluster, as used by one entry instance.
 
-    A blocked address can't be reached: new calls fail, running streams stand
-    still until it is unblocked, and the engine doesn't learn that a stream
-    was closed.
+    While an address is blocked, new calls to it fail, open streams stall, and
+    closing a stream does not cancel its attempt on the engine.
     """
 
     __slots__ = (
@@ -84,11 +83,12 @@
         """Creates a client.
 
         Args:
-          cluster: engines that it reaches.
+          cluster: engines to call.
           clock: timer service.
-          latency_s: time one way in seconds, before and after each call and
-            both ways before the first chunk of a stream.
-          latencies_s: the same by address, where it differs.
+          latency_s: one-way latency in seconds. A call takes it once before
+            and once after the engine handles it; a stream takes it twice
+            before its first chunk.
+          latencies_s: latency by address where it differs.
         """
         self._cluster = cluster
         self._timers = clock
@@ -97,11 +97,11 @@
         self._blocked: dict[str, asyncio.Event] = {}
 
     def block(self, address: str) -> None:
-        """Cuts an address off."""
+        """Makes an address unreachable."""
         self._blocked.setdefault(address, asyncio.Event())
 
     def unblock(self, address: str) -> None:
-        """Lets an address be reached again."""
+        """Makes an address reachable again."""
         unblocked = self._blocked.pop(address, None)
         if unblocked is not None:
             unblocked.set()
@@ -129,18 +129,18 @@
                 raise failures.FailureError(stream.failure)
         finally:
             if address not in blocked:
-                engine.leave(request)
+                engine.release(request)
 
     async def cancel(self, address: str, attempt_id: str) -> bool:
         engine = await self._connect(address)
         known = engine.cancel(attempt_id)
-        await self._return(address)
+        await self._return_answer(address)
         return known
 
     async def fetch_load(self, address: str) -> endpoints.LoadReport:
         engine = await self._connect(address)
         report = engine.make_load_report()
-        await self._return(address)
+        await self._return_answer(address)
         return report
 
     async def fetch_cache_events(
@@ -148,7 +148,7 @@
     ) -> list[attempts.CacheEvent]:
         engine = await self._connect(address)
         events = engine.read_cache_events(after)
-        await self._return(address)
+        await self._return_answer(address)
         return events
 
     async def give_order(
@@ -156,14 +156,14 @@
     ) -> endpoints.LoadReport:
         engine = await self._connect(address)
         state = engine.obey(order)
-        await self._return(address)
+        await self._return_answer(address)
         return state
 
     async def _connect(self, address: str) -> engines.Engine:
-        """Returns an engine once it answers.
+        """Returns an engine once it is reachable and not paused.
 
         Raises:
-          failure.FailureError: it can't be reached; the verdict is NOT_RUN.
+          failure.FailureError: it is unreachable; the verdict is NOT_RUN.
         """
         await self._delay(address)
         engine = self._find(address)
@@ -187,8 +187,8 @@
         if latency_s:
             await self._timers.sleep(latency_s)
 
-    async def _return(self, address: str) -> None:
-        """Brings an answer back, unless the way is cut off by now."""
+    async def _return_answer(self, address: str) -> None:
+        """Delays an answer; fails if the address is blocked by then."""
         await self._delay(address)
         if address in self._blocked:
             raise failures.FailureError(
--- a/rhubarblock/standins/engine/cluster_test.py
+++ b/rhubarblock/standins/engine/cluster_test.py
@@ -34,7 +34,7 @@
     assert (cancel_s, load_s) == pytest.approx((1.0, 0.5))
 
 
-def test_a_blocked_or_unknown_address_gives_not_run():
+def test_a_call_to_a_blocked_or_unknown_address_is_not_run():
     async def body(bench):
         bench.client.block("a:1")
         found = []
@@ -50,7 +50,7 @@
     assert testing.run_bench(body) == ([expected, expected], 0)
 
 
-def test_a_blocked_stream_stands_still_and_goes_on():
+def test_a_blocked_stream_stalls_and_continues_when_unblocked():
     async def body(bench):
         task = bench.start("r/1", 1000, 50)
         await bench.clock.sleep(0.1)
@@ -67,7 +67,7 @@
     )
 
 
-def test_an_engine_does_not_learn_of_streams_closed_behind_a_block():
+def test_closing_a_blocked_stream_does_not_cancel_its_attempt():
     async def body(bench):
         task = bench.start("r/1", 1000, 500)
         await bench.clock.sleep(0.1)
@@ -81,7 +81,7 @@
     assert testing.run_bench(body) == ({"r/1": 1500}, {})
 
 
-def test_an_answer_lost_on_its_way_back_may_have_run():
+def test_a_call_whose_answer_is_lost_may_have_run():
     async def body(bench):
         client = make_far_client(bench)
         task = asyncio.ensure_future(client.give_order("a:1", ORDER))
--- a/rhubarblock/standins/engine/context.py
+++ b/rhubarblock/standins/engine/context.py
@@ -1,4 +1,4 @@
-"""What outlives the single starts of the stand-in engine."""
+"""State of the stand-in engine that is kept across its restarts."""
 
 import collections
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineCounters:
-    """What an engine did since its first start.
+    """Counters of an engine since its first start.
 
     Attributes:
-      accepted: attempts taken.
-      refused: attempts refused outright.
-      finished: attempts that ended whole.
+      accepted: attempts accepted.
+      refused: attempts refused on submission.
+      finished: attempts whose answer is complete.
       cancelled: attempts cancelled by their caller.
       failed: attempts ended by a failure.
       iterations: iterations run.
       tokens: tokens generated.
       prefill_tokens: prompt tokens computed.
       cached_tokens: prompt tokens found in the prefix cache.
-      imports: attempts whose sources were read.
-      expired: exports freed, after a copy or without one.
+      imports: attempts that imported the KV cache of their sources.
+      expired: exports that expired, with or without having been copied.
       starts: starts of the engine.
     """
 
@@ -46,18 +46,18 @@
 
 @dataclasses.dataclass(slots=True)
 class RunContext:
-    """What outlives one start of an engine.
+    """What the runs of an engine share: settings, services and counters.
 
     Attributes:
       settings: size and speed.
       timers: timer service.
       rng: random numbers.
-      faults: what is wrong with the engine.
-      counters: what it did.
-      runs: attempts begun by the digest of their body.
+      faults: faults switched on.
+      counters: counters since the first start.
+      runs: number of attempts started, by the digest of their body.
       transport: reads the exports of other engines.
-      on_change: called when the load changed.
-      on_crash: called when an attempt kills the engine.
+      on_change: called when the load changes.
+      on_crash: called when an attempt crashes the engine.
     """
 
     settings: enginesettings.EngineSettings
--- a/rhubarblock/standins/engine/cost.py
+++ b/rhubarblock/standins/engine/cost.py
@@ -1,4 +1,4 @@
-"""What one iteration of the stand-in engine costs, and how much it may hold."""
+"""Duration and prefill budget of one iteration of the stand-in engine."""
 
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.standins.engine import settings as enginesettings
@@ -11,9 +11,9 @@
 
     Args:
       settings: the engine's rates.
-      decodes: requests that generate a token in it, those of other engines
-        that read a segment held here included.
-      prefill_tokens: prompt tokens computed in it.
+      decodes: requests that generate a token in the iteration, including
+        those of other engines that read a segment held here.
+      prefill_tokens: prompt tokens computed in the iteration.
     """
     return (
         settings.iteration_s
@@ -27,11 +27,11 @@
     role: endpoints.Role,
     decodes: int,
 ) -> int:
-    """Returns the most prompt tokens that one iteration may compute.
+    """Returns the maximum number of prompt tokens of one iteration.
 
     Args:
       settings: the engine's limits.
-      role: role in force.
+      role: current role of the engine.
       decodes: requests that generate a token in the iteration.
     """
     if role is endpoints.Role.PREFILL or decodes == 0:
--- a/rhubarblock/standins/engine/engine.py
+++ b/rhubarblock/standins/engine/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model engine, as an object in memory.
+"""Stand-in for a model engine, as an object in memory.
 
-It computes nothing, but takes the time, holds the memory and shows the faults
-of an engine that batches continuously. ``engineserver`` puts it behind HTTP,
-``enginecluster`` behind a client in memory. The protocol is described in
+It computes nothing, but takes the time, occupies the memory and shows the
+faults of an engine with continuous batching. ``server`` serves it over HTTP,
+``cluster`` has a client without sockets. The protocol is described in
 docs/standins.md.
 """
 
@@ -43,11 +43,11 @@
     verdicts.Verdict.MAY_HAVE_RUN,
 )
 
-_ENDED = (enginerequest.Phase.HELD, enginerequest.Phase.GONE)
+_ENDED_PHASES = (enginerequest.Phase.HELD, enginerequest.Phase.GONE)
 
 
 class _NoTransport(engineexport.KvTransport):
-    """Stands in for the way to other engines where there are none."""
+    """Transport of an engine that cannot reach other engines."""
 
     async def read_kv(
         self, address: str, request: engineexport.ReadRequest
@@ -59,17 +59,17 @@
 
 
 class Engine:
-    """An engine that lives through many starts.
+    """An engine that can crash and restart.
 
     Attributes:
       endpoint_id: its name.
-      address: ``host:port`` under which it is reached.
+      address: ``host:port`` at which it listens.
       settings: size and speed.
-      faults: what is wrong with it.
-      counters: what it did since its first start.
-      alive: whether it runs.
-      draining: whether it refuses new attempts.
-      fence: highest fencing number that it obeyed.
+      faults: faults switched on.
+      counters: counters since its first start.
+      alive: whether its process runs.
+      draining: whether the latest order says to refuse new attempts.
+      fence: highest fencing number of an order that it accepted.
     """
 
     def __init__(
@@ -86,12 +86,13 @@
 
         Args:
           endpoint_id: its name.
-          address: ``host:port`` under which it is reached.
+          address: ``host:port`` at which it listens.
           clock: timer service.
-          rng: decides which cache events are lost.
+          rng: draws start ids and lost cache events.
           settings: size and speed, None for the defaults.
-          weights: store to load models from, None for one of its own.
-          transport: way to the exports of other engines, None for no way.
+          weights: store to load models from, None for a separate one.
+          transport: reads the exports of other engines, None if it cannot
+            reach any.
         """
         self.endpoint_id = endpoint_id
         self.address = address
@@ -125,17 +126,17 @@
 
     @property
     def start_id(self) -> str:
-        """Changes with each start."""
+        """Id of the current run; changes with each start."""
         return self._run.start_id
 
     @property
     def paused(self) -> bool:
-        """Whether nothing progresses."""
+        """Whether the pause fault stops all progress."""
         now_s = self._timers.read_monotonic()
         return self.faults.pause_until_s - now_s > enginesettings.RESOLUTION_S
 
     def connect(self, transport: engineexport.KvTransport) -> None:
-        """Sets the way to the exports of other engines."""
+        """Sets the transport that reads the exports of other engines."""
         self._context.transport = transport
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -145,32 +146,35 @@
     # Requests.
 
     def submit(self, attempt: attempts.Attempt) -> enginerequest.EngineRequest:
-        """Takes an attempt in.
+        """Accepts an attempt.
 
         Args:
           attempt: what to run.
 
         Returns:
-          The attempt's state; its stream gives the answer. Whoever reads it
-          calls ``leave`` at last.
+          The attempt's state; its stream carries the answer. The reader of the
+          stream must call ``release`` in the end.
 
         Raises:
           failure.FailureError: refused; the verdict is NOT_RUN.
         """
         try:
-            return self._run.submit(attempt, self._check(attempt))
+            return self._run.submit(attempt, self._check_attempt(attempt))
         except failures.FailureError:
             self.counters.refused += 1
             raise
 
-    def leave(self, request: enginerequest.EngineRequest) -> None:
-        """Frees an attempt whose caller reads no further, unless it is held."""
-        if request.phase in _ENDED:
+    def release(self, request: enginerequest.EngineRequest) -> None:
+        """Cancels an attempt whose caller has stopped reading.
+
+        Does nothing if the attempt has ended, even if its memory is held.
+        """
+        if request.phase in _ENDED_PHASES:
             return
         if self.paused:
-            # The engine sees that the connection is closed when it goes on.
+            # A paused engine notices a closed connection only afterwards.
             delay_s = self.faults.pause_until_s - self._timers.read_monotonic()
-            self._timers.call_later(delay_s, lambda: self.leave(request))
+            self._timers.call_later(delay_s, lambda: self.release(request))
             return
         self._run.cancel(request.attempt_id, None)
 
@@ -183,7 +187,7 @@
           attempt: what to run.
 
         Yields:
-          The pieces of the answer.
+          The chunks of the answer.
 
         Raises:
           failure.FailureError: refused or failed.
@@ -195,25 +199,27 @@
                 async for chunk in chunks:
                     yield chunk
         finally:
-            self.leave(request)
+            self.release(request)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Frees all that an attempt holds; returns whether it was known."""
+        """Cancels an attempt, also a held one; returns whether it was known."""
         return self._run.cancel(attempt_id, _CANCELLED)
 
     async def read_kv(
-        self, wanted: engineexport.ReadRequest
+        self, read_request: engineexport.ReadRequest
     ) -> AsyncGenerator[engineexport.ReadEvent, None]:
-        """Reads the KV cache of an attempt here; see ``KvTransport``."""
+        """Yields the events of reading an export; see ``KvTransport``."""
         await self.wait_for_pause()
         run = self._run
-        await run.wait_for_attempt(wanted.handle)
-        export = run.find_export(wanted.handle)
+        await run.wait_for_attempt(read_request.handle)
+        export = run.find_export(read_request.handle)
         if export is None:
             raise failures.FailureError(
-                engineexport.make_lost_failure(wanted.handle)
+                engineexport.make_lost_failure(read_request.handle)
             )
-        reader = engineexport.Reader(wanted, self._timers.read_monotonic())
+        reader = engineexport.Reader(
+            read_request, self._timers.read_monotonic()
+        )
         export.attach(reader)
         try:
             async with contextlib.aclosing(reader.events.read()) as events:
@@ -223,23 +229,23 @@
             export.detach(reader)
 
     async def wait_for_pause(self) -> None:
-        """Waits until the engine answers."""
+        """Waits until the engine is not paused."""
         while self.paused:
             now_s = self._timers.read_monotonic()
             await self._timers.sleep(self.faults.pause_until_s - now_s)
 
-    # What it says of itself.
+    # Reports.
 
     def make_load_report(self) -> endpoints.LoadReport:
-        """Returns the state of one lag ago."""
+        """Returns the state as of ``load_lag_s`` ago."""
         return self._load.make_report()
 
     def read_cache_events(self, after: int) -> list[attempts.CacheEvent]:
-        """Returns the cache events after a sequence number that show by now."""
+        """Returns the visible cache events after a sequence number."""
         return self._run.cache_events.read(after)
 
     def kv_held(self) -> dict[str, int]:
-        """Returns the KV memory that each attempt holds, in tokens."""
+        """Returns the KV memory of each attempt in tokens, by attempt id."""
         return {
             attempt_id: request.reservation.tokens
             for attempt_id, request in self._run.requests.items()
@@ -247,21 +253,21 @@
         }
 
     def kv_used(self) -> int:
-        """Returns the KV memory held in all; a shared block counts once."""
+        """Returns the KV memory in use; a shared block counts once."""
         return self._run.kv_used
 
     def count_runs(self, digest: str) -> int:
-        """Returns how many attempts of a body were begun, over all starts."""
+        """Returns how many attempts with a body ran, over all starts."""
         return self._context.runs[digest]
 
     # Orders.
 
     def obey(self, order: attempts.Order) -> endpoints.LoadReport:
-        """Takes an order and returns the state at once, without lag.
+        """Applies an order and returns the new state, without lag.
 
         Raises:
-          failure.FailureError: FORBIDDEN when the engine checks fencing numbers
-            and this one is old, BAD_REQUEST when the role is unknown.
+          failure.FailureError: FORBIDDEN if the engine checks fencing numbers
+            and has accepted a higher one, BAD_REQUEST if the role is unknown.
         """
         if self.settings.checks_fencing and order.fence < self.fence:
             raise failures.FailureError(
@@ -289,18 +295,18 @@
     # Faults.
 
     def die(self) -> None:
-        """Ends the process: streams break, memory and orders are lost."""
+        """Kills the process: streams break, memory and orders are lost."""
         self._stop(_DIED)
-        self._notify()
+        self._notify_listeners()
 
     def restart(self) -> None:
-        """Starts anew, with an empty memory and another start id."""
+        """Restarts the process with empty memory and a new start id."""
         self._stop(_RESTARTED)
         self._start()
-        self._notify()
+        self._notify_listeners()
 
     def pause(self, seconds: float) -> None:
-        """Lets nothing progress for a while; connections are accepted."""
+        """Stops all progress for a while; connections are still accepted."""
         now_s = self._timers.read_monotonic()
         until_s = now_s + seconds
         was_paused = self.paused
@@ -308,46 +314,46 @@
         if added_s <= 0:
             return
         self.faults.pause_until_s = until_s
-        self._run.delay(added_s)
+        self._run.postpone(added_s)
         if not was_paused:
-            self._run.tell_readers(engineexport.ReadEvent.STALLED)
+            self._run.notify_readers(engineexport.ReadEvent.STALLED)
         self._timers.call_later(seconds, self._resume)
 
     def refuse(self, seconds: float = enginefaults.FOREVER) -> None:
-        """Refuses new connections for a while; running streams go on."""
+        """Refuses new connections for a while; open streams continue."""
         if seconds == enginefaults.FOREVER:
             self.faults.refuse_until_s = seconds
         else:
             now_s = self._timers.read_monotonic()
             self.faults.refuse_until_s = now_s + seconds
-            self._timers.call_later(seconds, self._notify)
-        self._notify()
+            self._timers.call_later(seconds, self._notify_listeners)
+        self._notify_listeners()
 
-    def accept(self) -> None:
+    def accept_connections(self) -> None:
         """Accepts connections again."""
         self.faults.refuse_until_s = 0.0
-        self._notify()
+        self._notify_listeners()
 
     def begin_stop(self) -> None:
-        """Refuses new work until ``end_stop``, whatever is ordered.
+        """Refuses new attempts until ``end_stop``, whatever the orders say.
 
-        So does an engine that its platform is about to stop.
+        An engine that the platform is about to stop behaves like this.
         """
         self.faults.stopping = True
         self._record_load()
 
     def end_stop(self) -> None:
-        """Takes new work again."""
+        """Accepts new attempts again."""
         self.faults.stopping = False
         self._record_load()
 
     def clear_faults(self) -> None:
-        """Makes a living engine sound again; a pause still runs out."""
-        sound = enginefaults.EngineFaults()
-        sound.pause_until_s = self.faults.pause_until_s
-        for field in dataclasses.fields(sound):
-            setattr(self.faults, field.name, getattr(sound, field.name))
-        self._notify()
+        """Switches all faults off, except that a pause lasts until its end."""
+        defaults = enginefaults.EngineFaults()
+        defaults.pause_until_s = self.faults.pause_until_s
+        for field in dataclasses.fields(defaults):
+            setattr(self.faults, field.name, getattr(defaults, field.name))
+        self._notify_listeners()
 
     def _start(self) -> None:
         self.alive = True
@@ -372,9 +378,9 @@
 
     def _resume(self) -> None:
         if not self.paused:
-            self._run.tell_readers(engineexport.ReadEvent.RESUMED)
+            self._run.notify_readers(engineexport.ReadEvent.RESUMED)
 
-    def _notify(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -401,39 +407,41 @@
             fence=self.fence,
         )
 
-    def _check(self, attempt: attempts.Attempt) -> str:
-        """Returns the version that serves an attempt, or refuses it."""
+    def _check_attempt(self, attempt: attempts.Attempt) -> str:
+        """Returns the model version that serves an attempt, or refuses it."""
         if not self.alive:
-            raise _refuse(
+            raise _make_refusal(
                 failures.FailureCode.ENDPOINT_FAILED, "the engine is dead"
             )
         if self.draining or self.faults.stopping:
-            raise _refuse(
+            raise _make_refusal(
                 failures.FailureCode.DRAINING, "the engine takes no new work"
             )
         version = self._models.find_version(attempt.model)
         if version is None:
-            raise _refuse(
+            raise _make_refusal(
                 failures.FailureCode.UNKNOWN_MODEL,
                 f"model {attempt.model} is not loaded",
             )
         if attempt.attempt_id in self._run.requests:
-            raise _refuse(
+            raise _make_refusal(
                 failures.FailureCode.BAD_REQUEST,
                 f"attempt {attempt.attempt_id} is here already",
             )
         problem = _find_problem(attempt)
         if problem:
-            raise _refuse(failures.FailureCode.BAD_REQUEST, problem)
+            raise _make_refusal(failures.FailureCode.BAD_REQUEST, problem)
         return version
 
 
-def _refuse(code: failures.FailureCode, message: str) -> failures.FailureError:
+def _make_refusal(
+    code: failures.FailureCode, message: str
+) -> failures.FailureError:
     return failures.FailureError(failures.Failure(code, message))
 
 
 def _find_problem(attempt: attempts.Attempt) -> str:
-    """Returns what is wrong with an attempt's numbers, or an empty string."""
+    """Returns what is wrong with an attempt's fields, or an empty string."""
     covered = sum(source.tokens for source in attempt.sources)
     if not attempt.attempt_id:
         return "attempt_id is empty"
--- a/rhubarblock/standins/engine/engine_test.py
+++ b/rhubarblock/standins/engine/engine_test.py
@@ -15,7 +15,8 @@
         answer = await bench.run("r/1", 1000, 3)
         return answer.times_s
 
-    # 8 ms and 1,000 tokens at 40,000 a second; then 8 ms and one decode.
+    # The first iteration takes 8 ms plus 1,000 tokens at 40,000 per second, the
+    # next ones 8 ms plus one decode.
     assert testing.run_bench(body) == pytest.approx([0.033, 0.0411, 0.0492])
 
 
@@ -37,8 +38,8 @@
 
 
 def test_a_decode_limits_prefill_to_512_tokens_an_iteration():
-    # The second prompt waits for the first one's prefill, then takes two
-    # iterations of 8 ms, one decode and 512 tokens.
+    # The second prompt waits for the prefill of the first, then takes two
+    # iterations of 8 ms, one decode and 512 tokens each.
     expected = 0.033 + 2 * (0.008 + 0.0001 + 512 / 40_000)
 
     assert testing.run_bench(_prefill_beside_a_decode) == pytest.approx(
@@ -72,7 +73,7 @@
         return short.times_s, (await long).times_s
 
     short_s, long_s = testing.run_bench(body)
-    # It shares the second iteration with the long one.
+    # The short prompt shares the second iteration with the long one.
     assert short_s == pytest.approx([2 * (0.008 + 4096 / 40_000)])
     assert long_s == pytest.approx([25 * 0.008 + 101_000 / 40_000])
 
@@ -80,18 +81,18 @@
 def test_the_text_depends_on_digest_and_index_alone():
     async def body(bench):
         whole = await bench.run("r/1", 100, 30)
-        rest = await bench.run("r/2", 100, 30, resume_from=12)
-        return whole, rest
+        resumed = await bench.run("r/2", 100, 30, resume_from=12)
+        return whole, resumed
 
-    whole, rest = testing.run_bench(body)
+    whole, resumed = testing.run_bench(body)
     assert whole.text == enginetokens.expected_text("r", 0, 30)
-    assert rest.text == enginetokens.expected_text("r", 12, 30)
-    assert [chunk.index for chunk in rest.chunks] == list(range(12, 30))
-    assert (whole.whole, rest.whole) == (True, True)
+    assert resumed.text == enginetokens.expected_text("r", 12, 30)
+    assert [chunk.index for chunk in resumed.chunks] == list(range(12, 30))
+    assert (whole.whole, resumed.whole) == (True, True)
     assert whole.chunks[-1].finish_reason == "length"
 
 
-def test_a_stream_interval_sends_tokens_together():
+def test_a_stream_interval_groups_tokens_into_chunks():
     async def body(bench):
         return await bench.run("r/1", 100, 10)
 
@@ -100,7 +101,7 @@
     assert answer.text == enginetokens.expected_text("r", 0, 10)
 
 
-def test_an_answer_already_given_ends_at_once():
+def test_resuming_a_complete_answer_ends_at_once():
     async def body(bench):
         return (await bench.run("r/1", 100, 5, resume_from=5)).chunks
 
@@ -108,7 +109,7 @@
     assert testing.run_bench(body) == [end]
 
 
-def test_a_resumed_attempt_computes_prompt_and_tokens_but_for_cached_blocks():
+def test_a_resumed_attempt_recomputes_all_but_the_cached_blocks():
     async def body(bench):
         blocks = testing.make_blocks("b", 2)
         await bench.run("r/1", 1100, 50, prefix_blocks=blocks)
@@ -127,14 +128,14 @@
     async def body(bench):
         ends = []
 
-        async def note(name, priority):
+        async def run_attempt(name, priority):
             await bench.run(f"{name}/1", 900, 100, priority=priority)
             ends.append(name)
 
-        tasks = [asyncio.ensure_future(note("first", 1))]
+        tasks = [asyncio.ensure_future(run_attempt("first", 1))]
         await bench.clock.sleep(0.001)
         for name, priority in (("low", 2), ("mid", 1), ("high", 0)):
-            tasks.append(asyncio.ensure_future(note(name, priority)))
+            tasks.append(asyncio.ensure_future(run_attempt(name, priority)))
         await bench.clock.sleep(0.001)
         held = bench.engine.kv_held()
         await asyncio.gather(*tasks)
@@ -167,7 +168,7 @@
         ({"attempt_id": ""}, "attempt_id is empty"),
     ],
 )
-def test_wrong_attempts_are_refused_as_not_run(fields, message):
+def test_malformed_attempts_are_refused_as_not_run(fields, message):
     async def body(bench):
         values = {"attempt_id": "r/1", "prompt_tokens": 10, **fields}
         return (await bench.run(**values)).failure, bench.engine.counters
@@ -178,7 +179,7 @@
     assert (counters.refused, counters.accepted) == (1, 0)
 
 
-def test_an_attempt_id_runs_once_at_a_time():
+def test_a_second_attempt_with_a_running_id_is_refused():
     async def body(bench):
         first = bench.start("r/1", 1000)
         await bench.clock.sleep(0.001)
@@ -258,8 +259,8 @@
         await bench.clock.sleep(0.15)
         backlog = (await bench.client.fetch_load("a:1")).prefill_tokens
         await asyncio.gather(*tasks)
-        rest = (await bench.client.fetch_load("a:1")).prefill_tokens
-        return backlog, rest
+        remaining = (await bench.client.fetch_load("a:1")).prefill_tokens
+        return backlog, remaining
 
     assert testing.run_bench(body, load_lag_s=0.0) == (20_000 - 4096, 0)
 
@@ -269,7 +270,7 @@
     return attempts.Order(fence=fence, models=models, **values)
 
 
-def test_an_old_fencing_number_is_refused_where_it_is_checked():
+def test_an_old_fencing_number_is_refused():
     async def body(bench):
         await bench.client.give_order("a:1", make_order(5))
         with pytest.raises(failures.FailureError) as caught:
@@ -284,7 +285,7 @@
     assert (state.fence, state.role) == (5, endpoints.Role.BOTH)
 
 
-def test_an_old_fencing_number_is_obeyed_where_it_is_not_checked():
+def test_an_old_fencing_number_is_accepted_without_the_check():
     async def body(bench):
         await bench.client.give_order("a:1", make_order(5))
         return await bench.client.give_order(
@@ -304,7 +305,7 @@
     assert testing.run_bench(body) == ("unknown role 'cook'", 0)
 
 
-def test_a_draining_engine_finishes_its_work_and_takes_no_more():
+def test_a_draining_engine_finishes_its_attempts_and_refuses_new_ones():
     async def body(bench):
         task = bench.start("r/1", 1000, 10)
         await bench.clock.sleep(0.01)
@@ -319,7 +320,7 @@
     )
 
 
-def test_a_model_is_served_once_it_is_loaded():
+def test_a_model_is_served_only_once_it_is_loaded():
     async def body(bench):
         order = make_order(1, ("default@1", "new@2"), adapters=("fine",))
         await bench.client.give_order("a:1", order)
--- a/rhubarblock/standins/engine/exports.py
+++ b/rhubarblock/standins/engine/exports.py
@@ -1,7 +1,7 @@
-"""Export of KV cache: what one engine lets others read.
+"""Export of KV cache to other engines.
 
-A reader is told when the source is computed, and, when it copies, when the
-copy is done. The protocol is described in docs/standins.md.
+A reader gets an event when the source is computed and, in copy mode, when the
+copy is complete. The protocol is described in docs/standins.md.
 """
 
 import abc
@@ -18,29 +18,29 @@
 
 
 class ReadMode(enum.Enum):
-    """How a source is read."""
+    """How a reader uses a source."""
 
-    COPY = "copy"  # Once, whole.
-    WINDOW = "window"  # Again and again while the reader prefills.
-    DECODE = "decode"  # Again and again while the reader decodes.
+    COPY = "copy"  # Copies it once.
+    WINDOW = "window"  # Reads it repeatedly during the prefill.
+    DECODE = "decode"  # Reads it repeatedly during the decode.
 
 
 class ReadEvent(enum.Enum):
-    """What a reader is told."""
+    """Event sent to a reader."""
 
     COMPUTED = "computed"  # The source is complete.
     COPIED = "copied"  # The copy is complete; nothing follows.
-    STALLED = "stalled"  # The source's engine stands still.
-    RESUMED = "resumed"  # It goes on.
+    STALLED = "stalled"  # The source's engine is paused.
+    RESUMED = "resumed"  # The engine works again.
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ReadRequest:
-    """A wish to read an export.
+    """Request to read an export.
 
     Attributes:
-      handle: attempt id that holds it.
-      mode: how it is read.
+      handle: id of the attempt that was exported.
+      mode: how the reader uses it.
       tokens: tokens to copy; 0 unless the mode is COPY.
     """
 
@@ -56,7 +56,7 @@
     def read_kv(
         self, address: str, request: ReadRequest
     ) -> AsyncGenerator[ReadEvent, None]:
-        """Yields the events of one reading; closing it ends the reading.
+        """Yields the events of one read; closing the iterator ends the read.
 
         Raises:
           failure.FailureError: ENDPOINT_FAILED when the source is lost.
@@ -64,7 +64,7 @@
 
 
 def make_lost_failure(handle: str) -> failures.Failure:
-    """Returns the failure of whoever reads an export that is gone."""
+    """Returns the failure of a read whose export is lost."""
     return failures.Failure(
         failures.FailureCode.ENDPOINT_FAILED,
         f"the KV cache {handle} is not held any more",
@@ -73,33 +73,33 @@
 
 
 class Reader:
-    """One reading of an export."""
+    """One read of an export under way."""
 
-    __slots__ = ("end_s", "events", "request", "start_s", "timer")
+    __slots__ = ("copy_end_s", "copy_timer", "events", "request", "start_s")
 
     def __init__(self, request: ReadRequest, start_s: float):
         self.request = request
         self.start_s = start_s
-        self.end_s = 0.0
+        self.copy_end_s = 0.0
         self.events: enginestream.Stream[ReadEvent] = enginestream.Stream()
-        self.timer: asyncio.TimerHandle | None = None
+        self.copy_timer: asyncio.TimerHandle | None = None
 
 
 class Export:
-    """The KV cache of one attempt, while it is computed and while it is held.
+    """The KV cache of one attempt, readable from its arrival until it expires.
 
     Attributes:
       handle: id of the attempt.
-      readers: readings under way.
+      readers: reads under way.
     """
 
     __slots__ = (
         "_computed_s",
-        "_expire",
+        "_copy_tokens_per_s",
+        "_expiry_timer",
         "_last_tokens",
-        "_once",
-        "_rate",
-        "_timer",
+        "_on_expire",
+        "_single_copy",
         "_timers",
         "_ttl_s",
         "handle",
@@ -110,123 +110,127 @@
         self,
         handle: str,
         clock: timers.Timers,
-        rate: float,
+        copy_tokens_per_s: float,
         ttl_s: float,
-        once: bool,
-        expire: Callable[[], None],
+        single_copy: bool,
+        on_expire: Callable[[], None],
     ):
         """Creates the export of an attempt that just arrived.
 
         Args:
           handle: id of the attempt.
           clock: timer service.
-          rate: tokens a second that a reader copies.
+          copy_tokens_per_s: rate at which a reader copies it.
           ttl_s: seconds without a reader after which it expires.
-          once: whether one finished copy makes it expire.
-          expire: called when it expired.
+          single_copy: whether it expires once a copy is complete.
+          on_expire: called when it expires.
         """
         self.handle = handle
         self.readers: list[Reader] = []
         self._timers = clock
-        self._rate = rate
+        self._copy_tokens_per_s = copy_tokens_per_s
         self._ttl_s = ttl_s
-        self._once = once
-        self._expire = expire
+        self._single_copy = single_copy
+        self._on_expire = on_expire
         self._computed_s: float | None = None
         self._last_tokens = 0
-        self._timer: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     @property
     def decode_readers(self) -> int:
-        """Readings of engines that decode."""
+        """Number of reads by engines that decode."""
         return sum(
             reader.request.mode is ReadMode.DECODE for reader in self.readers
         )
 
-    def complete(self, last_tokens: int) -> None:
-        """Notes that the KV cache is computed.
+    def mark_computed(self, last_tokens: int) -> None:
+        """Marks the KV cache as computed and notifies the readers.
 
         Args:
-          last_tokens: tokens of the latest iteration, not yet copied.
+          last_tokens: tokens of the last iteration, which no reader has copied
+            yet.
         """
         self._computed_s = self._timers.read_monotonic()
         self._last_tokens = last_tokens
         for reader in self.readers:
-            self._announce(reader)
+            self._notify_computed(reader)
         self._schedule_expiry()
 
     def attach(self, reader: Reader) -> None:
-        """Starts a reading."""
+        """Starts a read."""
         self.readers.append(reader)
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         if self._computed_s is not None:
-            self._announce(reader)
+            self._notify_computed(reader)
 
     def detach(self, reader: Reader) -> None:
-        """Ends a reading."""
-        if reader.timer is not None:
-            reader.timer.cancel()
+        """Ends a read."""
+        if reader.copy_timer is not None:
+            reader.copy_timer.cancel()
         if reader in self.readers:
             self.readers.remove(reader)
             self._schedule_expiry()
 
-    def tell(self, event: ReadEvent) -> None:
-        """Tells every reader of something."""
+    def notify_readers(self, event: ReadEvent) -> None:
+        """Sends an event to every reader."""
         for reader in self.readers:
             reader.events.put(event)
 
-    def delay(self, seconds: float) -> None:
-        """Puts off the copies under way, as the engine stands still."""
+    def postpone(self, seconds: float) -> None:
+        """Delays the copies under way by the length of a pause."""
         for reader in self.readers:
-            if reader.timer is not None:
-                reader.timer.cancel()
-                self._finish_at(reader, reader.end_s + seconds)
-
-    def lose(self) -> None:
-        """Ends every reading with a failure."""
-        if self._timer is not None:
-            self._timer.cancel()
+            if reader.copy_timer is not None:
+                reader.copy_timer.cancel()
+                self._schedule_copy_end(reader, reader.copy_end_s + seconds)
+
+    def fail_readers(self) -> None:
+        """Fails every read because the KV cache is lost."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         readers = self.readers
         self.readers = []
         for reader in readers:
-            if reader.timer is not None:
-                reader.timer.cancel()
+            if reader.copy_timer is not None:
+                reader.copy_timer.cancel()
             reader.events.close(make_lost_failure(self.handle))
 
-    def _announce(self, reader: Reader) -> None:
+    def _notify_computed(self, reader: Reader) -> None:
         reader.events.put(ReadEvent.COMPUTED)
         if reader.request.mode is not ReadMode.COPY:
             return
         assert self._computed_s is not None
-        # All but the latest iteration was copied while it was computed.
-        end_s = max(
-            self._computed_s + self._last_tokens / self._rate,
-            reader.start_s + reader.request.tokens / self._rate,
+        # All tokens except those of the last iteration were copied while later
+        # ones were computed.
+        copy_end_s = max(
+            self._computed_s + self._last_tokens / self._copy_tokens_per_s,
+            reader.start_s + reader.request.tokens / self._copy_tokens_per_s,
         )
-        self._finish_at(reader, end_s)
+        self._schedule_copy_end(reader, copy_end_s)
 
-    def _finish_at(self, reader: Reader, end_s: float) -> None:
-        reader.end_s = end_s
-        delay_s = max(0.0, end_s - self._timers.read_monotonic())
-        reader.timer = self._timers.call_later(
+    def _schedule_copy_end(self, reader: Reader, copy_end_s: float) -> None:
+        reader.copy_end_s = copy_end_s
+        delay_s = max(0.0, copy_end_s - self._timers.read_monotonic())
+        reader.copy_timer = self._timers.call_later(
             delay_s, lambda: self._finish_copy(reader)
         )
 
     def _finish_copy(self, reader: Reader) -> None:
-        reader.timer = None
+        reader.copy_timer = None
         self.readers.remove(reader)
         reader.events.put(ReadEvent.COPIED)
         reader.events.close()
-        if self._once and not self.readers:
-            self._expire()
+        if self._single_copy and not self.readers:
+            self._on_expire()
         else:
             self._schedule_expiry()
 
     def _schedule_expiry(self) -> None:
         if self._computed_s is None or self.readers:
             return
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self._timers.call_later(self._ttl_s, self._expire)
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        self._expiry_timer = self._timers.call_later(
+            self._ttl_s, self._on_expire
+        )
--- a/rhubarblock/standins/engine/faults.py
+++ b/rhubarblock/standins/engine/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-in engine that a test can switch on."""
+"""Faults of the stand-in engine that tests can switch on."""
 
 import collections
 import dataclasses
@@ -14,20 +14,21 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineFaults:
-    """What is wrong with an engine; the defaults are a sound one.
+    """Faults of one engine; all are off by default.
 
     Attributes:
       slow_factor: multiplies the duration of each iteration.
       late_s: delay of every chunk in seconds.
-      cross_next: pairs of chunks still to be put on each other's stream.
-      cut_next: streams still to be ended without an end chunk.
-      duplicate_next: chunks still to be sent twice.
-      crash_digests: digests whose attempts kill the engine when they start.
+      cross_next: number of next pairs of chunks to swap between two streams.
+      cut_next: number of next streams to end without an end chunk.
+      duplicate_next: number of next chunks to send twice.
+      crash_digests: digests of bodies that crash the engine when their attempt
+        starts.
       bad_versions: ``name@version`` that load but fail every attempt.
-      refuse_until_s: moment up to which connections are refused.
-      pause_until_s: moment up to which nothing progresses.
-      stopping: whether its platform stops it: it refuses new work, whatever it
-        is ordered.
+      refuse_until_s: monotonic time until which connections are refused.
+      pause_until_s: monotonic time until which nothing progresses.
+      stopping: whether the platform is about to stop the engine; it then
+        refuses new attempts whatever its orders say.
     """
 
     slow_factor: float = 1.0
@@ -42,8 +43,8 @@
     stopping: bool = False
 
     @property
-    def touch_streams(self) -> bool:
-        """Whether chunks can't simply be put on their own streams."""
+    def affects_streams(self) -> bool:
+        """Whether chunks have to pass through a ``FaultInjector``."""
         return bool(
             self.late_s
             or self.cross_next
@@ -53,7 +54,7 @@
 
 
 class Delivery:
-    """A chunk on its way to a stream; no chunk stands for the end."""
+    """A chunk to put on a stream, or None for the end of the stream."""
 
     __slots__ = ("chunk", "request", "stream")
 
@@ -66,37 +67,37 @@
         self.stream: enginestream.Stream[attempts.Chunk] = request.stream
         self.chunk = chunk
 
-    def hand_out(self) -> None:
-        """Puts the chunk on its stream, or ends the stream."""
+    def deliver(self) -> None:
+        """Puts the chunk on the stream, or closes the stream."""
         if self.chunk is None:
             self.stream.close()
         else:
             self.stream.put(self.chunk)
 
 
-class FaultyOutlet:
-    """Hands out the chunks of an iteration with the faults switched on."""
+class FaultInjector:
+    """Delivers the chunks of iterations with the faults that are on."""
 
-    __slots__ = ("_batches", "_faults", "_last_s", "_timers")
+    __slots__ = ("_batches", "_faults", "_last_delivery_s", "_timers")
 
     def __init__(self, faults: EngineFaults, clock: timers.Timers):
         self._faults = faults
         self._timers = clock
-        self._last_s = 0.0
+        self._last_delivery_s = 0.0
         self._batches: collections.deque[list[Delivery]] = collections.deque()
 
     @property
     def busy(self) -> bool:
-        """Whether earlier chunks are still on their way."""
+        """Whether earlier chunks have not been delivered yet."""
         return bool(self._batches)
 
     def send(
         self, deliveries: list[Delivery]
     ) -> list[enginerequest.EngineRequest]:
-        """Disturbs and hands out the chunks of one iteration.
+        """Applies the faults to the chunks of one iteration and delivers them.
 
         Args:
-          deliveries: the chunks in order, ends of streams included.
+          deliveries: the chunks and ends of streams, in order.
 
         Returns:
           The requests whose stream was cut.
@@ -104,20 +105,25 @@
         self._cross(deliveries)
         self._duplicate(deliveries)
         cut = self._cut(deliveries)
-        # A stream may still get another one's chunk, so the ends come last.
+        # A crossed chunk may still go to a stream that ends, so the ends of
+        # streams are delivered last.
         deliveries.sort(key=lambda each: each.chunk is None)
         now_s = self._timers.read_monotonic()
-        self._last_s = max(self._last_s, now_s + self._faults.late_s)
+        self._last_delivery_s = max(
+            self._last_delivery_s, now_s + self._faults.late_s
+        )
         self._batches.append(deliveries)
-        if self._last_s > now_s or len(self._batches) > 1:
-            self._timers.call_later(self._last_s - now_s, self._hand_out)
+        if self._last_delivery_s > now_s or len(self._batches) > 1:
+            self._timers.call_later(
+                self._last_delivery_s - now_s, self._deliver_next_batch
+            )
         else:
-            self._hand_out()
+            self._deliver_next_batch()
         return cut
 
-    def _hand_out(self) -> None:
+    def _deliver_next_batch(self) -> None:
         for delivery in self._batches.popleft():
-            delivery.hand_out()
+            delivery.deliver()
 
     def _cross(self, deliveries: list[Delivery]) -> None:
         chunks = [each for each in deliveries if each.chunk is not None]
--- a/rhubarblock/standins/engine/faults_test.py
+++ b/rhubarblock/standins/engine/faults_test.py
@@ -18,7 +18,7 @@
 
 
 def list_steps(answer):
-    """Returns the time between each two chunks."""
+    """Returns the times between consecutive chunks."""
     times_s = answer.times_s
     return [
         second - first
@@ -26,7 +26,7 @@
     ]
 
 
-def test_a_dying_engine_breaks_its_streams_and_loses_its_memory():
+def test_a_killed_engine_breaks_its_streams_and_loses_its_memory():
     async def body(bench):
         start_id = bench.engine.start_id
         blocks = testing.make_blocks("b", 1)
@@ -50,7 +50,7 @@
     assert old_id != new_id
 
 
-def test_events_and_load_of_a_new_start_begin_anew():
+def test_a_restart_resets_cache_events_and_load_reports():
     async def body(bench):
         blocks = testing.make_blocks("b", 1)
         await bench.run("r/1", 600, prefix_blocks=blocks)
@@ -62,7 +62,7 @@
     assert testing.run_bench(body) == ([], 1)
 
 
-def test_a_paused_engine_progresses_nowhere_and_answers_later():
+def test_a_paused_engine_makes_no_progress_and_answers_afterwards():
     async def body(bench):
         task = bench.start("r/1", 1000, 50)
         await bench.clock.sleep(0.1)
@@ -95,7 +95,7 @@
     assert testing.run_bench(body) == ({"r/1": 1500}, {})
 
 
-def test_a_slow_engine_takes_longer_by_its_factor():
+def test_the_slow_factor_multiplies_iteration_times():
     async def body(bench):
         bench.engine.faults.slow_factor = 10.0
         return (await bench.run("r/1", 1000, 2)).times_s
@@ -103,7 +103,7 @@
     assert testing.run_bench(body) == pytest.approx([0.33, 0.411])
 
 
-def test_crossed_chunks_come_on_each_other_s_stream():
+def test_crossed_chunks_arrive_on_each_others_stream():
     async def body(bench):
         first = bench.start("a/1", 1000, 10)
         second = bench.start("b/1", 1000, 10)
@@ -112,14 +112,14 @@
         return await first, await second
 
     first, second = testing.run_bench(body)
-    strangers = [
+    crossed = [
         [chunk for chunk in answer.chunks if chunk.attempt_id != own]
         for answer, own in ((first, "a/1"), (second, "b/1"))
     ]
-    assert [chunk.attempt_id for chunk in strangers[0]] == ["b/1"]
-    assert [chunk.attempt_id for chunk in strangers[1]] == ["a/1"]
-    index = strangers[0][0].index
-    assert strangers[0][0].text == enginetokens.make_token("b", index)
+    assert [chunk.attempt_id for chunk in crossed[0]] == ["b/1"]
+    assert [chunk.attempt_id for chunk in crossed[1]] == ["a/1"]
+    index = crossed[0][0].index
+    assert crossed[0][0].text == enginetokens.make_token("b", index)
     assert (len(first.chunks), len(second.chunks)) == (10, 10)
 
 
@@ -136,7 +136,7 @@
     assert (first.failure, second.failure) == (None, None)
 
 
-def test_late_chunks_keep_their_order_when_the_fault_ends():
+def test_delayed_chunks_keep_their_order_when_the_fault_ends():
     async def body(bench):
         bench.engine.faults.late_s = 1.0
         task = bench.start("r/1", 1000, 200)
@@ -151,7 +151,7 @@
     assert answer.whole
 
 
-def test_a_cut_stream_ends_without_an_end_and_frees_its_memory():
+def test_a_cut_stream_has_no_end_chunk_and_frees_its_memory():
     async def body(bench):
         task = bench.start("r/1", 1000, 100)
         await bench.clock.sleep(0.1)
@@ -164,7 +164,7 @@
     assert held == {}
 
 
-def test_a_duplicated_chunk_comes_twice():
+def test_a_duplicated_chunk_arrives_twice():
     async def body(bench):
         task = bench.start("r/1", 1000, 10)
         await bench.clock.sleep(0.04)
@@ -180,7 +180,7 @@
     ]
 
 
-def test_a_marked_body_kills_the_engine_when_its_prefill_starts():
+def test_a_body_with_a_crash_digest_kills_the_engine_at_its_prefill():
     async def body(bench):
         bench.engine.faults.crash_digests.add("bad")
         good = bench.start("good/1", 4096, 100)
@@ -192,7 +192,7 @@
         return alive, bench.engine.alive, await good, await bad, counts
 
     before, after, good, bad, counts = testing.run_bench(body)
-    # The first iteration is all the good one's.
+    # The first iteration only computes the good attempt.
     assert (before, after) == (True, False)
     assert (good.failure, bad.failure) == (CUT, CUT)
     assert counts == [1, 1]
@@ -214,7 +214,7 @@
     )
 
 
-def test_refused_connections_leave_running_streams_alone():
+def test_refusing_connections_does_not_affect_open_streams():
     async def body(bench):
         task = bench.start("r/1", 1000, 100)
         await bench.clock.sleep(0.1)
@@ -227,7 +227,7 @@
     assert testing.run_bench(body) == (NO_CONNECTION, True, True)
 
 
-def test_cleared_faults_leave_a_sound_engine():
+def test_clearing_the_faults_restores_normal_operation():
     async def body(bench):
         bench.engine.faults.slow_factor = 10.0
         bench.engine.faults.crash_digests.add("r")
--- a/rhubarblock/standins/engine/imports_test.py
+++ b/rhubarblock/standins/engine/imports_test.py
@@ -36,7 +36,7 @@
 
 def test_an_import_overlaps_the_prefill():
     async def body(bench):
-        # The reader may even come first.
+        # The reader may arrive before its source.
         second = start_decode(bench)
         await asyncio.sleep(0)
         first = start_prefill(bench)
@@ -48,7 +48,7 @@
     held, (first, second), after, counters = run(body)
     assert held == [{"r/1": 50_001}, {"r/2": 50_020}, {}]
     assert first.times_s == pytest.approx([PREFILL_50K_S])
-    # Only the last iteration's 848 tokens are still to be copied.
+    # Only the 848 tokens of the last iteration are left to copy.
     copied_s = PREFILL_50K_S + 848 / 200_000
     assert second.times_s[0] == pytest.approx(copied_s + DECODE_S)
     assert second.times_s[1] == pytest.approx(copied_s + 2 * DECODE_S)
@@ -57,7 +57,7 @@
     assert after == [{}, {}, {}]
 
 
-def test_a_later_import_takes_its_whole_copy():
+def test_an_import_after_the_prefill_takes_the_whole_copy_time():
     async def body(bench):
         await start_prefill(bench)
         await bench.clock.sleep(5.0)
@@ -86,7 +86,7 @@
     assert run(body) == 97 * 512
 
 
-def test_sources_that_cover_a_part_leave_the_rest_to_compute():
+def test_the_prompt_beyond_the_sources_is_prefilled():
     async def body(bench):
         await bench.start("r/1", 4096, 1, export=True, address="a:1")
         start_s = bench.clock.read_monotonic()
@@ -100,7 +100,7 @@
     assert run(body) == pytest.approx(copy_s + 0.008 + 1000 / 40_000)
 
 
-def test_an_export_that_nobody_reads_is_freed_after_10_s():
+def test_an_export_without_a_reader_is_freed_after_10_s():
     async def body(bench):
         await start_prefill(bench)
         await bench.clock.sleep(9.9)
@@ -148,7 +148,7 @@
     )
 
 
-def test_a_reader_that_goes_away_leaves_the_export_for_the_next():
+def test_an_aborted_import_leaves_the_export_for_the_next_reader():
     async def body(bench):
         await start_prefill(bench)
         first = start_decode(bench)
@@ -163,7 +163,7 @@
     assert whole
 
 
-def test_a_paused_source_puts_the_copy_off():
+def test_a_paused_source_delays_the_copy():
     async def body(bench):
         await start_prefill(bench)
         start_s = bench.clock.read_monotonic()
@@ -180,7 +180,7 @@
 
 
 def start_group(bench, max_tokens=5):
-    """Starts a prompt of 1M tokens on three engines."""
+    """Starts a prompt of one million tokens on three engines."""
     sources = ()
     tasks = []
     for number, (address, end) in enumerate(
@@ -218,7 +218,7 @@
         return during, ends, answer, bench.list_held()
 
     during, ends, answer, after = run(body)
-    # Each member holds its part; those who read also hold a window.
+    # Each engine holds its segment; those that read others also hold a window.
     assert during == [
         {"g/0": 350_000},
         {"g/1": 350_000 + 4096},
@@ -236,7 +236,7 @@
     assert after == [{"g/0": 350_000}, {"g/1": 350_000}, {}]
 
 
-def test_reading_the_segments_bounds_a_short_last_part():
+def test_a_short_last_part_waits_until_its_sources_are_read():
     async def body(bench):
         source = attempts.KvSource("a:1", "g/0", 200_000)
         await bench.start("g/0", 201_000, segment_end=200_000, address="a:1")
@@ -276,7 +276,7 @@
     assert later
 
 
-def test_segments_stay_until_cancelled_or_60_s_after_the_last_read():
+def test_segments_are_held_until_cancelled_or_60_s_after_the_last_read():
     async def body(bench):
         segments, last = start_group(bench)
         await last
--- a/rhubarblock/standins/engine/load.py
+++ b/rhubarblock/standins/engine/load.py
@@ -1,4 +1,4 @@
-"""Load reports of the stand-in engine, which describe a moment in the past."""
+"""Load reports of the stand-in engine, which describe a past state."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class LoadHistory:
-    """The engine's latest states, as far back as the lag."""
+    """Recent states of the engine, kept for as long as the reporting lag."""
 
     __slots__ = ("_lag_s", "_sequence", "_states", "_timers")
 
@@ -18,7 +18,7 @@
 
         Args:
           clock: timer service.
-          lag_s: age of the state that a report describes.
+          lag_s: age in seconds of the state that a report describes.
         """
         self._timers = clock
         self._lag_s = lag_s
@@ -28,14 +28,14 @@
         )
 
     def record(self, state: endpoints.LoadReport) -> None:
-        """Adds the state of this moment."""
-        self._forget(state.measured_s)
+        """Adds the current state."""
+        self._discard_old(state.measured_s)
         self._states.append(state)
 
     def make_report(self) -> endpoints.LoadReport:
-        """Returns the state that was in force one lag ago."""
+        """Returns the state as of the lag ago with the next sequence number."""
         now_s = self._timers.read_monotonic()
-        self._forget(now_s)
+        self._discard_old(now_s)
         self._sequence += 1
         state = self._states[0]
         return dataclasses.replace(
@@ -44,8 +44,9 @@
             sequence=self._sequence,
         )
 
-    def _forget(self, now_s: float) -> None:
-        # The newest state that is old enough is the one in force then.
+    def _discard_old(self, now_s: float) -> None:
+        # Keeps the newest state that is at least one lag old: it was current
+        # at the time that a report describes.
         latest_s = now_s - self._lag_s + enginesettings.RESOLUTION_S
         states = self._states
         while len(states) > 1 and states[1].measured_s <= latest_s:
--- a/rhubarblock/standins/engine/memory_test.py
+++ b/rhubarblock/standins/engine/memory_test.py
@@ -4,7 +4,7 @@
 
 
 class Recorder:
-    """Writes down what a cache stores and drops."""
+    """Records what a cache stores and evicts."""
 
     def __init__(self):
         self.lines = []
@@ -30,7 +30,7 @@
     assert memory.held_tokens == 1100 + 1200 - 1024
 
 
-def test_blocks_computed_twice_at_a_time_are_kept_once():
+def test_a_block_computed_twice_concurrently_is_stored_once():
     memory, recorder = make_memory(10)
     first = memory.reserve(512, ("b0",))
     second = memory.reserve(512, ("b0",))
@@ -41,7 +41,7 @@
     assert recorder.lines == ["+b0"]
 
 
-def test_idle_blocks_give_way_last_block_of_the_oldest_prompt_first():
+def test_eviction_starts_with_the_last_block_of_the_oldest_prompt():
     memory, recorder = make_memory(4)
     for name in "ab":
         blocks = (f"{name}0", f"{name}1")
@@ -55,19 +55,19 @@
     assert memory.held_tokens == 3 * 512
 
 
-def test_held_blocks_never_give_way():
+def test_pinned_blocks_are_never_evicted():
     memory, recorder = make_memory(3)
     first = memory.reserve(1024, ("b0", "b1"))
     memory.pin_blocks(first, 2)
     recorder.lines.clear()
 
     assert memory.reserve(1025 - 512 + 1, ()) is None
-    # Of the same prompt only what is not shared has to fit.
+    # For the same prompt, only the tokens outside the shared blocks must fit.
     assert memory.reserve(1024 + 512, ("b0", "b1")) is not None
     assert recorder.lines == []
 
 
-def test_idle_blocks_that_are_used_again_count_as_needed():
+def test_reused_idle_blocks_count_against_the_capacity():
     memory, _ = make_memory(3)
     first = memory.reserve(1024, ("b0", "b1"))
     memory.pin_blocks(first, 2)
--- a/rhubarblock/standins/engine/output.py
+++ b/rhubarblock/standins/engine/output.py
@@ -1,4 +1,4 @@
-"""What the stand-in engine sends: tokens, ends, and faults on their way."""
+"""Answers that the stand-in engine streams, with the faults switched on."""
 
 from collections.abc import Callable
 
@@ -14,46 +14,49 @@
 
 
 class Output:
-    """Puts the chunks of one iteration on the streams."""
+    """Puts the chunks of each iteration on the streams of the attempts."""
 
     __slots__ = (
         "_context",
         "_deliveries",
-        "_disturbed",
-        "_drop",
-        "_finish",
-        "_outlet",
+        "_injector",
+        "_injects_faults",
+        "_on_cut",
+        "_on_finish",
     )
 
     def __init__(
         self,
         context: enginecontext.RunContext,
-        finish: _Callback,
-        drop: _Callback,
+        on_finish: _Callback,
+        on_cut: _Callback,
     ):
-        """Creates the output of one start of an engine.
+        """Creates the output of one run of an engine.
 
         Args:
           context: counters, settings and faults.
-          finish: called with an attempt whose answer is whole.
-          drop: called with an attempt whose stream was cut.
+          on_finish: called with an attempt whose answer is complete.
+          on_cut: called with an attempt whose stream was cut.
         """
         self._context = context
-        self._finish = finish
-        self._drop = drop
-        self._outlet = enginefaults.FaultyOutlet(context.faults, context.timers)
+        self._on_finish = on_finish
+        self._on_cut = on_cut
+        self._injector = enginefaults.FaultInjector(
+            context.faults, context.timers
+        )
         self._deliveries: list[enginefaults.Delivery] = []
-        self._disturbed = False
+        self._injects_faults = False
 
     def begin(self) -> None:
-        """Begins the sending of one iteration."""
-        self._disturbed = (
-            self._context.faults.touch_streams or self._outlet.busy
+        """Starts the output of one iteration."""
+        self._injects_faults = (
+            self._context.faults.affects_streams or self._injector.busy
         )
 
     def send_decoded(self, decoders: list[enginerequest.EngineRequest]) -> None:
         """Generates and sends one token of each attempt."""
-        # This runs for every token of every engine, so it avoids calls.
+        # This runs for every token of every engine, so it avoids function
+        # calls.
         decoding = enginerequest.Phase.DECODING
         group_tokens = enginetokens.GROUP_TOKENS
         make_chunk = attempts.Chunk
@@ -65,7 +68,7 @@
             index = request.next_index
             request.next_index = index + 1
             attempt = request.attempt
-            if self._disturbed or index + 1 >= attempt.max_tokens:
+            if self._injects_faults or index + 1 >= attempt.max_tokens:
                 request.last_tokens = 1
                 self._send_tokens(request)
             elif interval == 1:
@@ -84,33 +87,33 @@
                 self._send_tokens(request)
 
     def send_first(self, request: enginerequest.EngineRequest) -> None:
-        """Sends the first token, which the prefill gives."""
+        """Sends the first token, which the prefill yields."""
         self._context.counters.tokens += 1
         request.next_index += 1
         self._send_tokens(request)
 
     def send_end(self, request: enginerequest.EngineRequest) -> None:
-        """Sends an end without a token, and finishes the attempt."""
-        self._deliver(request, _make_end(request))
+        """Sends an end chunk without a token and finishes the attempt."""
+        self._deliver(request, _make_end_chunk(request))
         self._deliver(request, None)
-        self._finish(request)
+        self._on_finish(request)
 
-    def send_nothing(self, request: enginerequest.EngineRequest) -> None:
-        """Ends the answer of an attempt that was never begun."""
-        request.stream.put(_make_end(request))
+    def send_empty_answer(self, request: enginerequest.EngineRequest) -> None:
+        """Ends the answer of an attempt that has no tokens left to generate."""
+        request.stream.put(_make_end_chunk(request))
         request.stream.close()
 
     def flush(self) -> None:
-        """Ends the sending of one iteration."""
+        """Completes the output of one iteration."""
         if not self._deliveries:
             return
         deliveries = self._deliveries
         self._deliveries = []
-        for request in self._outlet.send(deliveries):
-            self._drop(request)
+        for request in self._injector.send(deliveries):
+            self._on_cut(request)
 
     def _send_tokens(self, request: enginerequest.EngineRequest) -> None:
-        """Sends the tokens that no chunk holds yet."""
+        """Sends the generated tokens that have not been sent yet."""
         attempt = request.attempt
         first = request.sent_index
         last = request.next_index
@@ -125,14 +128,14 @@
         chunk.cached_tokens = request.cached_tokens
         self._deliver(request, chunk)
         self._deliver(request, None)
-        self._finish(request)
+        self._on_finish(request)
 
     def _deliver(
         self,
         request: enginerequest.EngineRequest,
         chunk: attempts.Chunk | None,
     ) -> None:
-        if self._disturbed:
+        if self._injects_faults:
             self._deliveries.append(enginefaults.Delivery(request, chunk))
         elif chunk is None:
             request.stream.close()
@@ -140,7 +143,7 @@
             request.stream.put(chunk)
 
 
-def _make_end(request: enginerequest.EngineRequest) -> attempts.Chunk:
+def _make_end_chunk(request: enginerequest.EngineRequest) -> attempts.Chunk:
     return attempts.Chunk(
         request.attempt_id,
         request.next_index,
--- a/rhubarblock/standins/engine/passes.py
+++ b/rhubarblock/standins/engine/passes.py
@@ -1,19 +1,20 @@
 """A model of an engine that works in passes.
 
-In a pass each request that writes takes some steps, and prompts are read
-between the steps, so that reading makes those who write pause. Prompts may be
-read in parts. What came last is read first, a part for another engine or an own
-prompt; an engine that writes nothing turns to it after each chunk. It runs on
-the clock of the event loop, so minutes pass in a moment on the virtual one.
-
-Replayed on the placements of four calm days of the users' platform, this order
-gives first events of prompts over 110,000 tokens within 0.3 s for 89 in 100
-(median error 0.03 s); first come, first read gives 61 in 100, the shortest
-first 75, all parts for others first 79.
-
-Left out: what the first engine pays in each step for parts that others hold,
-the memory that these set aside, the eviction of a request when memory runs out
-(a prompt waits for memory instead), crashes and the lag of reports.
+In a pass each decoding request takes some steps, and prompts are prefilled
+between the steps, so that prefill delays the decoding requests. Prompts may be
+prefilled in parts. The part that arrived last is prefilled first, whether it is
+for another engine or for a prompt of this one; an engine that decodes nothing
+chooses the part anew after each chunk. It runs on the clock of the event loop,
+so a simulation on the virtual loop takes little real time.
+
+Last in, first out is the order that predicts the users' platform best: it
+predicts the first events of long prompts more closely than first in, first out,
+than shortest first, and than parts for other engines first.
+
+Not modelled: the cost that parts held by other engines add to each step of the
+first engine, the memory that these parts reserve, the eviction of a request
+when memory runs out (a prompt waits for memory instead), crashes and the lag
+of load reports.
 """
 
 import asyncio
@@ -26,117 +27,119 @@
 
 @dataclasses.dataclass(slots=True)
 class Part:
-    """A share of a prompt that one engine reads.
+    """A part of a prompt that one engine prefills.
 
     Attributes:
-      tokens: prompt tokens that are left to read.
-      read_s: seconds that reading these takes.
-      finished: called when it is read.
+      tokens: prompt tokens left to prefill.
+      prefill_s: seconds that prefilling these takes.
+      on_finished: called when the part is prefilled.
     """
 
     tokens: float
-    read_s: float
-    finished: Callable[[], None]
+    prefill_s: float
+    on_finished: Callable[[], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Writer:
-    """A request that an engine writes.
+    """A request that an engine decodes.
 
     Attributes:
-      context_tokens: memory that it takes until its end.
-      events: events that are left to write.
-      wrote: called with each event, and whether it is the last.
+      context_tokens: KV memory that it holds until its end, in tokens.
+      events: events left to emit.
+      on_event: called for each event with whether it is the last one.
     """
 
     context_tokens: int
     events: int
-    wrote: Callable[[bool], None]
+    on_event: Callable[[bool], None]
 
 
 class PassEngine:
-    """One engine; ``run`` works until it is cancelled.
+    """One engine; ``run`` executes passes until it is cancelled.
 
     Attributes:
-      writers: requests that it writes.
-      pace: how many times longer than usual everything takes.
+      decoding: requests that it decodes.
+      slowdown: factor by which passes take longer than usual.
     """
 
     __slots__ = (
         "_admitted",
         "_model",
+        "_prefilling",
         "_queue",
-        "_reading",
         "_used_tokens",
         "_wake",
-        "pace",
-        "writers",
+        "decoding",
+        "slowdown",
     )
 
     def __init__(self, model: routes.EngineCostModel):
         """Creates an idle engine.
 
         Args:
-          model: what its steps and its reading cost.
+          model: cost of its steps and of its prefill.
         """
         self._model = model
-        # What is being read, the latest last.
-        self._reading: list[Part] = []
+        # Admitted parts in order of arrival; the last one is prefilled first.
+        self._prefilling: list[Part] = []
         self._queue: list[tuple[Writer, Part]] = []
         self._admitted = 0
         self._used_tokens = 0
         self._wake = asyncio.Event()
-        self.writers: list[Writer] = []
-        self.pace = 1.0
+        self.decoding: list[Writer] = []
+        self.slowdown = 1.0
 
     @property
-    def read_left_s(self) -> float:
-        """Seconds of reading that it has before it, those that wait too."""
+    def prefill_left_s(self) -> float:
+        """Seconds of prefill left, including requests that wait."""
         waiting = [part for _, part in self._queue]
-        parts = [*self._reading, *waiting]
-        return sum(part.read_s for part in parts)
+        parts = [*self._prefilling, *waiting]
+        return sum(part.prefill_s for part in parts)
 
     @property
     def requests(self) -> int:
-        """Requests that it reads or writes, and those that wait for a slot."""
+        """Number of admitted requests and of those that wait for a slot."""
         return self._admitted + len(self._queue)
 
     def help(self, part: Part) -> None:
-        """Reads a part of a prompt that another engine writes."""
-        self._reading.append(part)
+        """Adds a part of a prompt whose answer another engine decodes."""
+        self._prefilling.append(part)
         self._wake.set()
 
     def submit(self, writer: Writer, part: Part) -> None:
-        """Takes a request with the part of its prompt that is read here.
+        """Adds a request with the part of its prompt that is prefilled here.
 
-        It counts as admitted until its last event; ``start`` makes it write
-        when all parts are read.
+        Once admitted, it holds its slot and memory until its last event. The
+        caller must call ``start`` once all parts of the prompt are
+        prefilled.
         """
         self._queue.append((writer, part))
         self._admit()
         self._wake.set()
 
     def start(self, writer: Writer) -> None:
-        """Lets an admitted request write, as its whole prompt is read.
+        """Starts to decode an admitted request whose prompt is prefilled.
 
-        Its first event comes at the end of the pass that read the last of it.
+        It emits its first event at once, that is, at the end of the pass that
+        completed the prefill.
         """
-        self.writers.append(writer)
-        self._write(writer)
+        self.decoding.append(writer)
+        self._emit_event(writer)
         self._wake.set()
 
     async def run(self) -> None:
-        """Works in passes for ever."""
+        """Executes passes until cancelled."""
         while True:
             self._admit()
-            if not (self.writers or self._reading):
+            if not (self.decoding or self._prefilling):
                 self._wake.clear()
                 await self._wake.wait()
                 continue
             await self._pass()
 
     def _admit(self) -> None:
-        """Admits those that wait, in turn, while there is room."""
+        """Admits waiting requests in order, while slots and memory last."""
         while self._queue and self._admitted < self._model.slots:
             writer, part = self._queue[0]
             used = self._used_tokens + writer.context_tokens
@@ -145,50 +148,52 @@
             del self._queue[0]
             self._admitted += 1
             self._used_tokens = used
-            self._reading.append(part)
+            self._prefilling.append(part)
 
     async def _pass(self) -> None:
-        """Makes one pass: a stride of steps, or a chunk of reading alone."""
-        writing = list(self.writers)
-        steps = self._model.stride if writing else 1
-        write_s = 0.0
-        if writing:
-            write_s = self._model.predict_stride(
-                len(writing), self._used_tokens
+        """Executes one pass: a stride of steps, or just a chunk of prefill."""
+        decoding_now = list(self.decoding)
+        steps = self._model.stride if decoding_now else 1
+        decode_s = 0.0
+        if decoding_now:
+            decode_s = self._model.predict_stride(
+                len(decoding_now), self._used_tokens
             )
-        finished, read_s = self._read(steps * self._model.chunk_tokens)
-        await asyncio.sleep(self.pace * (write_s + read_s))
+        finished, prefill_s = self._plan_prefill(
+            steps * self._model.chunk_tokens
+        )
+        await asyncio.sleep(self.slowdown * (decode_s + prefill_s))
         for part in finished:
-            part.finished()
-        for writer in writing:
-            self._write(writer)
+            part.on_finished()
+        for writer in decoding_now:
+            self._emit_event(writer)
 
-    def _read(self, budget: float) -> tuple[list[Part], float]:
-        """Reads up to a number of tokens, what came last first.
+    def _plan_prefill(self, budget: float) -> tuple[list[Part], float]:
+        """Takes up to ``budget`` tokens of prefill, last part first.
 
         Returns:
-          The parts that are read to their end, and the seconds that it takes.
+          The parts that this completes, and the seconds that it takes.
         """
         finished = []
         seconds = 0.0
-        while self._reading and budget > 0:
-            part = self._reading[-1]
+        while self._prefilling and budget > 0:
+            part = self._prefilling[-1]
             tokens = min(part.tokens, budget)
             share = tokens / part.tokens if part.tokens else 1.0
-            seconds += share * part.read_s
+            seconds += share * part.prefill_s
             budget -= max(tokens, 1.0)
             part.tokens -= tokens
-            part.read_s -= share * part.read_s
+            part.prefill_s -= share * part.prefill_s
             if part.tokens <= 0:
-                finished.append(self._reading.pop())
+                finished.append(self._prefilling.pop())
         return finished, seconds
 
-    def _write(self, writer: Writer) -> None:
+    def _emit_event(self, writer: Writer) -> None:
         writer.events -= 1
         is_last = writer.events <= 0
         if is_last:
             with contextlib.suppress(ValueError):
-                self.writers.remove(writer)
+                self.decoding.remove(writer)
             self._admitted -= 1
             self._used_tokens -= writer.context_tokens
-        writer.wrote(is_last)
+        writer.on_event(is_last)
--- a/rhubarblock/standins/engine/request.py
+++ b/rhubarblock/standins/engine/request.py
@@ -1,4 +1,4 @@
-"""One attempt inside the stand-in engine."""
+"""State of one attempt inside the stand-in engine."""
 
 import asyncio
 import enum
@@ -11,44 +11,45 @@
 
 
 class Phase(enum.Enum):
-    """What an attempt does at the moment."""
+    """Phase of an attempt."""
 
-    WAITING = "waiting"  # For memory.
-    IMPORTING = "importing"  # Holds memory, waits for its sources.
+    WAITING = "waiting"  # Waits for memory.
+    IMPORTING = "importing"  # Has memory, waits for its sources.
     PREFILLING = "prefilling"
-    SETTLING = "settling"  # Computed, but its sources aren't read to the end.
+    SETTLING = "settling"  # Prefilled, still reads its sources.
     DECODING = "decoding"
-    HELD = "held"  # Ended, its memory kept for readers.
-    GONE = "gone"
+    HELD = "held"  # Finished, its memory is kept for readers.
+    GONE = "gone"  # Ended, its memory is freed.
 
 
 class EngineRequest:
     """State of one attempt.
 
     Attributes:
-      attempt: what was asked.
+      attempt: the attempt as submitted.
       attempt_id: id of the attempt.
       version: model that it runs on, ``name@version``.
-      arrival: rises with each attempt of one start of the engine.
-      phase: what it does at the moment.
-      stream: the chunks on their way to the caller.
-      own_start: first position whose KV this engine holds.
-      own_end: position after the last of the prompt that it holds.
-      target: position up to which it computes before the first token.
+      arrival: sequence number of its arrival within one run of the engine.
+      phase: current phase.
+      stream: chunks for the caller.
+      kv_start: first prompt position whose KV cache this engine holds.
+      kv_end: position after the last prompt position that it holds.
+      prefill_end: position up to which the prefill computes.
       position: position up to which it is computed.
       next_index: index of the next token to generate.
-      sent_index: index of the first token that no chunk holds yet.
+      sent_index: index of the first token that has not been sent.
       cached_tokens: prompt tokens found in the prefix cache.
       last_tokens: tokens computed in its latest iteration.
-      reservation: its memory, or None while it waits.
-      export: what others may read of it, or None.
+      reservation: its KV memory, or None while it waits.
+      export: the KV cache that other engines may read, or None.
       tasks: tasks that read its sources.
-      text_group: group of tokens that it generates now.
-      texts: texts of that group.
-      sources_left: sources that aren't computed yet.
-      settle_s: moment at which windowed reading catches up.
-      stalled: sources whose engine stands still.
-      started: whether it was computed on at all.
+      text_group: group of the token that it generates next.
+      texts: texts of the tokens of that group.
+      pending_sources: number of sources that aren't computed yet.
+      sources_read_s: earliest time at which sources that are read in windows
+        have been read completely.
+      stalled_sources: number of sources whose engine is paused.
+      started: whether any of it was computed.
     """
 
     __slots__ = (
@@ -57,20 +58,20 @@
         "attempt_id",
         "cached_tokens",
         "export",
+        "kv_end",
+        "kv_start",
         "last_tokens",
         "next_index",
-        "own_end",
-        "own_start",
+        "pending_sources",
         "phase",
         "position",
+        "prefill_end",
         "reservation",
         "sent_index",
-        "settle_s",
-        "sources_left",
-        "stalled",
+        "sources_read_s",
+        "stalled_sources",
         "started",
         "stream",
-        "target",
         "tasks",
         "text_group",
         "texts",
@@ -84,12 +85,12 @@
         self.arrival = arrival
         self.phase = Phase.WAITING
         self.stream: enginestream.Stream[attempts.Chunk] = enginestream.Stream()
-        self.own_start = self.source_tokens if self.windowed else 0
-        self.own_end = attempt.segment_end or attempt.prompt_tokens
-        self.target = self.own_end
+        self.kv_start = self.source_tokens if self.windowed else 0
+        self.kv_end = attempt.segment_end or attempt.prompt_tokens
+        self.prefill_end = self.kv_end
         if not self.is_segment:
-            self.target += attempt.resume_from
-        self.position = self.own_start
+            self.prefill_end += attempt.resume_from
+        self.position = self.kv_start
         self.next_index = attempt.resume_from
         self.sent_index = attempt.resume_from
         self.cached_tokens = 0
@@ -99,14 +100,14 @@
         self.text_group = -1
         self.texts: tuple[str, ...] = ()
         self.tasks: list[asyncio.Task[None]] = []
-        self.sources_left = len(attempt.sources)
-        self.settle_s = 0.0
-        self.stalled = 0
+        self.pending_sources = len(attempt.sources)
+        self.sources_read_s = 0.0
+        self.stalled_sources = 0
         self.started = False
 
     @property
     def is_segment(self) -> bool:
-        """Whether it holds a segment and generates nothing."""
+        """Whether it only computes a segment of a prompt for other engines."""
         return self.attempt.segment_end > 0
 
     @property
@@ -118,50 +119,50 @@
 
     @property
     def source_tokens(self) -> int:
-        """Tokens of the prompt that the sources cover."""
+        """Prompt tokens that the sources cover."""
         return sum(source.tokens for source in self.attempt.sources)
 
     @property
-    def order(self) -> tuple[int, int]:
-        """Sorts by priority, then arrival."""
+    def sort_key(self) -> tuple[int, int]:
+        """Sort key of the scheduling order: priority, then arrival."""
         return (self.attempt.priority, self.arrival)
 
     @property
-    def remaining(self) -> int:
-        """Tokens to compute before the first one is generated."""
-        return self.target - self.position
+    def remaining_tokens(self) -> int:
+        """Tokens left to prefill."""
+        return self.prefill_end - self.position
 
     @property
-    def own_blocks(self) -> tuple[str, ...]:
-        """Prefix blocks that lie wholly in its part of the prompt."""
+    def kv_blocks(self) -> tuple[str, ...]:
+        """Prefix blocks entirely within the part of the prompt held here."""
         size = enginesettings.BLOCK_TOKENS
-        if self.own_start % size:
+        if self.kv_start % size:
             return ()
         return self.attempt.prefix_blocks[
-            self.own_start // size : self.own_end // size
+            self.kv_start // size : self.kv_end // size
         ]
 
     def count_memory_tokens(self, window_tokens: int) -> int:
-        """Returns the KV memory it needs in tokens.
+        """Returns the KV memory that it needs, in tokens.
 
         Args:
-          window_tokens: memory for reading sources in windows.
+          window_tokens: KV memory needed to read sources in windows.
         """
-        tokens = self.own_end - self.own_start
+        tokens = self.kv_end - self.kv_start
         if not self.is_segment:
             tokens += self.attempt.max_tokens
         if self.windowed:
             tokens += window_tokens
         return tokens
 
-    def start_position(self, cached_blocks: int) -> int:
+    def find_start_position(self, cached_blocks: int) -> int:
         """Returns the position up to which the prefix cache covers it.
 
         Args:
-          cached_blocks: number of its blocks that are cached.
+          cached_blocks: number of its leading blocks that are cached.
         """
-        position = self.own_start + cached_blocks * enginesettings.BLOCK_TOKENS
+        position = self.kv_start + cached_blocks * enginesettings.BLOCK_TOKENS
         if self.is_segment:
             return position
-        # The last position is always computed: it yields the first token.
-        return min(position, self.target - 1)
+        # The last position is always computed, as it yields the first token.
+        return min(position, self.prefill_end - 1)
--- a/rhubarblock/standins/engine/run.py
+++ b/rhubarblock/standins/engine/run.py
@@ -1,7 +1,8 @@
-"""One start of the stand-in engine: all that it loses when it dies.
+"""One run of the stand-in engine, from a start to its crash or restart.
 
-A single task runs the iterations while there is work and ends when there is
-none, so an idle engine costs nothing.
+It holds all state that the engine loses with its process. A single task runs
+the iterations while there is work and then ends, so an idle engine costs
+nothing.
 """
 
 import asyncio
@@ -22,33 +23,34 @@
 
 _Phase = enginerequest.Phase
 
-# An iteration that the machine delayed is made up for up to this much.
-_MAX_BEHIND_S = 0.05
+# If the machine is late, an iteration is planned from the intended end of the
+# previous one, but at most this long ago.
+_MAX_CATCH_UP_S = 0.05
 
 
 class EngineRun:
-    """Attempts, memory and iterations of one start.
+    """Attempts, memory and iterations of one run.
 
     Attributes:
-      start_id: changes with each start.
-      role: role in force.
+      start_id: id of this run; changes with each start.
+      role: current role.
       requests: attempts that wait or hold memory, by id.
       prefill_tokens: prompt tokens still to be computed.
-      cache_events: what is published of the prefix cache.
+      cache_events: published events of the prefix cache.
     """
 
     __slots__ = (
-        "_arrivals",
+        "_arrival_count",
+        "_arrival_events",
+        "_attempt_ids",
         "_batch",
-        "_clock_s",
         "_context",
-        "_end_s",
-        "_expected",
         "_exports",
-        "_ids",
         "_importer",
+        "_iteration_end_s",
         "_memory",
         "_output",
+        "_previous_end_s",
         "_stopped",
         "_task",
         "cache_events",
@@ -74,81 +76,86 @@
         self._batch = enginebatch.Batch()
         self._importer = engineimport.Importer(
             lambda: context.transport,
-            self._start_imported,
+            self._continue_imported,
             self.fail,
-            self._wake,
+            self._ensure_running,
+        )
+        self._output = engineoutput.Output(
+            context, self._finish_attempt, self._remove
         )
-        self._output = engineoutput.Output(context, self._finish, self._remove)
         self._exports: dict[str, engineexport.Export] = {}
-        self._expected: dict[str, asyncio.Event] = {}
-        self._ids: tuple[str, ...] | None = ()
-        self._arrivals = 0
+        self._arrival_events: dict[str, asyncio.Event] = {}
+        self._attempt_ids: tuple[str, ...] | None = ()
+        self._arrival_count = 0
         self._task: asyncio.Task[None] | None = None
         self._stopped = False
-        self._clock_s = 0.0  # Planned end of the latest iteration.
-        self._end_s = 0.0  # Planned end of the iteration under way.
+        self._previous_end_s = 0.0  # Planned end of the previous iteration.
+        self._iteration_end_s = 0.0  # Planned end of the current one.
 
     @property
     def kv_used(self) -> int:
-        """Tokens of KV memory that attempts hold."""
+        """KV memory that attempts hold, in tokens."""
         return self._memory.held_tokens
 
     @property
     def attempt_ids(self) -> tuple[str, ...]:
         """Ids of the attempts that wait or hold memory."""
-        if self._ids is None:
-            self._ids = tuple(self.requests)
-        return self._ids
+        if self._attempt_ids is None:
+            self._attempt_ids = tuple(self.requests)
+        return self._attempt_ids
 
     @property
     def decoding(self) -> int:
-        """Attempts that generate tokens."""
+        """Number of attempts that decode."""
         return len(self._batch.decoding)
 
     @property
     def waiting(self) -> int:
-        """Attempts that hold no memory yet."""
+        """Number of attempts that wait for memory."""
         return self._batch.waiting
 
     def submit(
         self, attempt: attempts.Attempt, version: str
     ) -> enginerequest.EngineRequest:
-        """Takes an attempt in.
+        """Accepts an attempt.
 
         Args:
           attempt: what to run.
           version: the model that serves it, ``name@version``.
 
         Returns:
-          The attempt's state; its stream gives the answer.
+          The attempt's state; its stream carries the answer.
 
         Raises:
-          failure.FailureError: it can never run here; the verdict is NOT_RUN.
+          failure.FailureError: it is too large for this engine; the verdict
+            is NOT_RUN.
         """
-        request = enginerequest.EngineRequest(attempt, version, self._arrivals)
-        self._check(request)
-        self._arrivals += 1
+        request = enginerequest.EngineRequest(
+            attempt, version, self._arrival_count
+        )
+        self._check_capacity(request)
+        self._arrival_count += 1
         self._context.counters.accepted += 1
         if not request.is_segment and request.next_index >= attempt.max_tokens:
             request.phase = _Phase.GONE
-            self._output.send_nothing(request)
+            self._output.send_empty_answer(request)
             return request
         if attempt.export or request.is_segment:
             request.export = self._make_export(request)
             self._exports[request.attempt_id] = request.export
         self._add(request)
-        self.prefill_tokens += request.remaining
+        self.prefill_tokens += request.remaining_tokens
         self._batch.add_waiting(request)
-        self._wake()
+        self._ensure_running()
         self._context.on_change()
         return request
 
     def cancel(self, attempt_id: str, failure: failures.Failure | None) -> bool:
-        """Frees all that an attempt holds.
+        """Cancels an attempt and frees all that it holds.
 
         Args:
-          attempt_id: the attempt.
-          failure: what whoever still reads its stream is told, or None.
+          attempt_id: id of the attempt.
+          failure: failure that closes its stream, or None.
 
         Returns:
           Whether the attempt was known.
@@ -165,7 +172,7 @@
     def fail(
         self, request: enginerequest.EngineRequest, failure: failures.Failure
     ) -> None:
-        """Ends an attempt with a failure."""
+        """Fails an attempt."""
         if request.phase is _Phase.GONE:
             return
         self._context.counters.failed += 1
@@ -173,43 +180,43 @@
         request.stream.close(failure)
 
     def stop(self, failure: failures.Failure) -> None:
-        """Ends everything at once, as when the process dies."""
+        """Ends all attempts at once, as if the process died."""
         self._stopped = True
         if self._task is not None:
             self._task.cancel()
         for request in list(self.requests.values()):
             self._remove(request)
             request.stream.close(failure)
-        for arrival in self._expected.values():
-            arrival.set()
+        for arrived in self._arrival_events.values():
+            arrived.set()
 
-    def delay(self, seconds: float) -> None:
-        """Puts off all that is under way by a time that nothing progresses."""
-        self._end_s += seconds
+    def postpone(self, seconds: float) -> None:
+        """Delays all work under way by the length of a pause."""
+        self._iteration_end_s += seconds
         for export in self._exports.values():
-            export.delay(seconds)
+            export.postpone(seconds)
 
-    def tell_readers(self, event: engineexport.ReadEvent) -> None:
-        """Tells whoever reads KV cache here of something."""
+    def notify_readers(self, event: engineexport.ReadEvent) -> None:
+        """Sends an event to every reader of an export."""
         for export in self._exports.values():
-            export.tell(event)
+            export.notify_readers(event)
 
     def find_export(self, handle: str) -> engineexport.Export | None:
-        """Returns what can be read under a handle, or None."""
+        """Returns the export with a handle, or None."""
         return self._exports.get(handle)
 
     async def wait_for_attempt(self, attempt_id: str) -> None:
-        """Waits for a moment until an attempt is here, if it isn't yet."""
+        """Waits for an attempt to arrive, up to ``handle_wait_s``."""
         if attempt_id in self.requests or self._stopped:
             return
-        arrival = self._expected.setdefault(attempt_id, asyncio.Event())
+        arrived = self._arrival_events.setdefault(attempt_id, asyncio.Event())
         try:
             async with asyncio.timeout(self._context.settings.handle_wait_s):
-                await arrival.wait()
+                await arrived.wait()
         except TimeoutError:
-            self._expected.pop(attempt_id, None)
+            self._arrival_events.pop(attempt_id, None)
 
-    def _check(self, request: enginerequest.EngineRequest) -> None:
+    def _check_capacity(self, request: enginerequest.EngineRequest) -> None:
         settings = self._context.settings
         tokens = request.count_memory_tokens(settings.window_tokens)
         if tokens > settings.kv_tokens:
@@ -231,8 +238,8 @@
             self._context.timers,
             settings.copy_tokens_per_s,
             settings.segment_ttl_s if is_segment else settings.export_ttl_s,
-            once=not is_segment,
-            expire=lambda: self._expire(request),
+            single_copy=not is_segment,
+            on_expire=lambda: self._expire(request),
         )
 
     def _expire(self, request: enginerequest.EngineRequest) -> None:
@@ -242,35 +249,35 @@
 
     def _add(self, request: enginerequest.EngineRequest) -> None:
         self.requests[request.attempt_id] = request
-        self._ids = None
-        arrival = self._expected.pop(request.attempt_id, None)
-        if arrival is not None:
-            arrival.set()
+        self._attempt_ids = None
+        arrived = self._arrival_events.pop(request.attempt_id, None)
+        if arrived is not None:
+            arrived.set()
 
     def _remove(self, request: enginerequest.EngineRequest) -> None:
         if request.phase is _Phase.GONE:
             return
         self._batch.remove(request)
-        self.prefill_tokens -= request.remaining
+        self.prefill_tokens -= request.remaining_tokens
         del self.requests[request.attempt_id]
-        self._ids = None
+        self._attempt_ids = None
         if request.reservation is not None:
             self._memory.release(request.reservation)
         if request.export is not None:
             del self._exports[request.attempt_id]
-            request.export.lose()
+            request.export.fail_readers()
         for task in request.tasks:
             task.cancel()
-        self._wake()
+        self._ensure_running()
         if not self._stopped:
             self._context.on_change()
 
-    def _wake(self) -> None:
+    def _ensure_running(self) -> None:
         if self._task is None and not self._stopped:
             self._task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        self._clock_s = self._context.timers.read_monotonic()
+        self._previous_end_s = self._context.timers.read_monotonic()
         try:
             await self._run_iterations()
         finally:
@@ -281,27 +288,29 @@
         while True:
             await self._wait_for_pause()
             self._admit()
-            plan = self._make_plan()
+            plan = self._plan_iteration()
             context.on_change()
-            if not plan.decoders and not plan.grants:
+            if not plan.decoders and not plan.prefill_chunks:
                 return
             await self._wait_for_iteration(plan)
-            self._apply(plan)
+            self._apply_plan(plan)
             context.counters.iterations += 1
 
     async def _wait_for_pause(self) -> None:
         clock = self._context.timers
         faults = self._context.faults
         while True:
-            rest_s = faults.pause_until_s - clock.read_monotonic()
-            if rest_s <= enginesettings.RESOLUTION_S:
+            remaining_s = faults.pause_until_s - clock.read_monotonic()
+            if remaining_s <= enginesettings.RESOLUTION_S:
                 return
-            await clock.sleep(rest_s)
-            self._clock_s = clock.read_monotonic()
+            await clock.sleep(remaining_s)
+            self._previous_end_s = clock.read_monotonic()
 
-    async def _wait_for_iteration(self, plan: enginebatch.Plan) -> None:
+    async def _wait_for_iteration(
+        self, plan: enginebatch.IterationPlan
+    ) -> None:
         clock = self._context.timers
-        prefill_tokens = sum(grant.tokens for grant in plan.grants)
+        prefill_tokens = sum(chunk.tokens for chunk in plan.prefill_chunks)
         decodes = len(plan.decoders) + self._count_remote_decodes()
         duration_s = self._context.faults.slow_factor * (
             enginecost.compute_iteration_s(
@@ -309,98 +318,99 @@
             )
         )
         now_s = clock.read_monotonic()
-        start_s = max(self._clock_s, now_s - _MAX_BEHIND_S)
-        self._end_s = start_s + duration_s
-        rest_s = duration_s + start_s - now_s
-        await clock.sleep(max(0.0, rest_s))
-        # A pause moves the end while this waits for it.
+        start_s = max(self._previous_end_s, now_s - _MAX_CATCH_UP_S)
+        self._iteration_end_s = start_s + duration_s
+        remaining_s = duration_s + start_s - now_s
+        await clock.sleep(max(0.0, remaining_s))
+        # A pause during the wait moves the end of the iteration.
         while (
-            rest_s := self._end_s - clock.read_monotonic()
+            remaining_s := self._iteration_end_s - clock.read_monotonic()
         ) > enginesettings.RESOLUTION_S:
-            await clock.sleep(rest_s)
-        self._clock_s = self._end_s
+            await clock.sleep(remaining_s)
+        self._previous_end_s = self._iteration_end_s
 
     def _count_remote_decodes(self) -> int:
         return sum(export.decode_readers for export in self._exports.values())
 
     def _admit(self) -> None:
-        """Gives memory to waiting attempts, in their order, while it lasts."""
+        """Reserves memory for waiting attempts in order while it lasts."""
         window_tokens = self._context.settings.window_tokens
         while (request := self._batch.peek_waiting()) is not None:
             reservation = self._memory.reserve(
-                request.count_memory_tokens(window_tokens), request.own_blocks
+                request.count_memory_tokens(window_tokens), request.kv_blocks
             )
             if reservation is None:
                 return
             self._batch.pop_waiting()
             request.reservation = reservation
-            self._begin(request, reservation)
+            self._start_admitted(request, reservation)
 
-    def _begin(
+    def _start_admitted(
         self,
         request: enginerequest.EngineRequest,
         reservation: enginememory.Reservation,
     ) -> None:
-        position = request.start_position(reservation.pinned)
-        request.cached_tokens = position - request.own_start
+        position = request.find_start_position(reservation.pinned)
+        request.cached_tokens = position - request.kv_start
         self._context.counters.cached_tokens += request.cached_tokens
-        self._move(request, position)
+        self._advance_to(request, position)
         if request.attempt.sources:
             request.phase = _Phase.IMPORTING
             self._importer.start(request)
         else:
             self._batch.add_prefill(request)
 
-    def _start_imported(self, request: enginerequest.EngineRequest) -> None:
-        """Goes on once the sources of an attempt are there."""
+    def _continue_imported(self, request: enginerequest.EngineRequest) -> None:
+        """Continues an attempt once its sources are copied or computed."""
         if request.phase is not _Phase.IMPORTING:
             return
         self._context.counters.imports += 1
         if request.windowed:
-            # Reading the sources once takes this long, beside the prefill.
+            # Reading all sources once takes this long, in parallel with the
+            # prefill.
             rate = self._context.settings.copy_tokens_per_s
             now_s = self._context.timers.read_monotonic()
-            request.settle_s = now_s + request.source_tokens / rate
+            request.sources_read_s = now_s + request.source_tokens / rate
             self._batch.add_prefill(request)
         else:
-            covered = min(request.source_tokens, request.target)
-            self._move(request, max(request.position, covered))
-            self._start_copied(request)
-        self._wake()
+            covered = min(request.source_tokens, request.prefill_end)
+            self._advance_to(request, max(request.position, covered))
+            self._continue_copied(request)
+        self._ensure_running()
 
-    def _start_copied(self, request: enginerequest.EngineRequest) -> None:
-        if request.remaining > 1:
+    def _continue_copied(self, request: enginerequest.EngineRequest) -> None:
+        if request.remaining_tokens > 1:
             self._batch.add_prefill(request)
             return
         # The last position is computed by the first decode.
-        self._move(request, request.target)
+        self._advance_to(request, request.prefill_end)
         self._batch.add_decode(request)
-        self._start(request)
+        self._mark_started(request)
 
-    def _move(
+    def _advance_to(
         self, request: enginerequest.EngineRequest, position: int
     ) -> None:
         self.prefill_tokens -= position - request.position
         request.position = position
         assert request.reservation is not None
-        blocks = (position - request.own_start) // enginesettings.BLOCK_TOKENS
+        blocks = (position - request.kv_start) // enginesettings.BLOCK_TOKENS
         if blocks > request.reservation.pinned:
             self._memory.pin_blocks(request.reservation, blocks)
 
-    def _make_plan(self) -> enginebatch.Plan:
+    def _plan_iteration(self) -> enginebatch.IterationPlan:
         context = self._context
         decoders = self._batch.list_decoders()
         limit = enginecost.choose_chunk_tokens(
             context.settings, self.role, len(decoders)
         )
-        grants = self._batch.grant(limit)
-        for grant in grants:
-            if not grant.request.started and not self._stopped:
-                self._start(grant.request)
-        return enginebatch.Plan(decoders, grants)
-
-    def _start(self, request: enginerequest.EngineRequest) -> None:
-        """Counts an attempt as run, and lets it do its harm."""
+        prefill_chunks = self._batch.schedule_prefill(limit)
+        for chunk in prefill_chunks:
+            if not chunk.request.started and not self._stopped:
+                self._mark_started(chunk.request)
+        return enginebatch.IterationPlan(decoders, prefill_chunks)
+
+    def _mark_started(self, request: enginerequest.EngineRequest) -> None:
+        """Counts an attempt as run and triggers the faults that it causes."""
         request.started = True
         digest = request.attempt.digest
         self._context.runs[digest] += 1
@@ -416,48 +426,52 @@
                 ),
             )
 
-    def _apply(self, plan: enginebatch.Plan) -> None:
+    def _apply_plan(self, plan: enginebatch.IterationPlan) -> None:
         self._output.begin()
         self._output.send_decoded(plan.decoders)
-        for grant in plan.grants:
-            if grant.request.phase is _Phase.PREFILLING:
-                self._advance(grant.request, grant.tokens)
+        for chunk in plan.prefill_chunks:
+            if chunk.request.phase is _Phase.PREFILLING:
+                self._apply_prefill(chunk.request, chunk.tokens)
         self._output.flush()
 
-    def _advance(
+    def _apply_prefill(
         self, request: enginerequest.EngineRequest, tokens: int
     ) -> None:
         self._context.counters.prefill_tokens += tokens
-        self._move(request, request.position + tokens)
-        if request.remaining:
+        self._advance_to(request, request.position + tokens)
+        if request.remaining_tokens:
             return
         request.last_tokens = tokens
         now_s = self._context.timers.read_monotonic()
-        if request.settle_s > now_s + enginesettings.RESOLUTION_S:
+        if request.sources_read_s > now_s + enginesettings.RESOLUTION_S:
             self._batch.remove(request, _Phase.SETTLING)
-            self._settle_later(request, request.settle_s - now_s)
+            self._schedule_finish_prefill(
+                request, request.sources_read_s - now_s
+            )
         else:
             self._finish_prefill(request)
 
-    def _settle_later(
+    def _schedule_finish_prefill(
         self, request: enginerequest.EngineRequest, delay_s: float
     ) -> None:
         self._context.timers.call_later(
-            max(0.0, delay_s), lambda: self._settle(request)
+            max(0.0, delay_s), lambda: self._finish_delayed_prefill(request)
         )
 
-    def _settle(self, request: enginerequest.EngineRequest) -> None:
+    def _finish_delayed_prefill(
+        self, request: enginerequest.EngineRequest
+    ) -> None:
         if request.phase is not _Phase.SETTLING:
             return
         now_s = self._context.timers.read_monotonic()
-        rest_s = self._context.faults.pause_until_s - now_s
-        if rest_s > 0:
-            self._settle_later(request, rest_s)
+        remaining_s = self._context.faults.pause_until_s - now_s
+        if remaining_s > 0:
+            self._schedule_finish_prefill(request, remaining_s)
             return
         self._output.begin()
         self._finish_prefill(request)
         self._output.flush()
-        self._wake()
+        self._ensure_running()
 
     def _finish_prefill(self, request: enginerequest.EngineRequest) -> None:
         if request.is_segment:
@@ -473,11 +487,11 @@
         if request.windowed and request.next_index + 1 < (
             request.attempt.max_tokens
         ):
-            self._importer.start_decode(request)
+            self._importer.start_decode_reads(request)
         self._output.send_first(request)
 
-    def _finish(self, request: enginerequest.EngineRequest) -> None:
-        """Frees or keeps what an attempt holds whose answer is whole."""
+    def _finish_attempt(self, request: enginerequest.EngineRequest) -> None:
+        """Frees a finished attempt, or holds its KV cache for readers."""
         self._context.counters.finished += 1
         if request.export is None:
             self._remove(request)
@@ -485,4 +499,4 @@
         self._batch.remove(request, _Phase.HELD)
         for task in request.tasks:
             task.cancel()
-        request.export.complete(request.last_tokens)
+        request.export.mark_computed(request.last_tokens)
--- a/rhubarblock/standins/engine/server.py
+++ b/rhubarblock/standins/engine/server.py
@@ -1,4 +1,7 @@
-"""The stand-in engine behind HTTP; the protocol is in docs/standins.md."""
+"""Serves the stand-in engine over HTTP.
+
+The protocol is described in docs/standins.md.
+"""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -18,7 +21,7 @@
 from rhubarblock.kernel import timers
 from rhubarblock.standins.engine import engine as engines
 from rhubarblock.standins.engine import exports as engineexport
-from rhubarblock.standins.engine import faultorder as enginefaultorder
+from rhubarblock.standins.engine import faultcontrol as enginefaultcontrol
 from rhubarblock.standins.engine import request as enginerequest
 from rhubarblock.standins.engine import sse as enginesse
 
@@ -30,7 +33,7 @@
 
 
 class HttpKvTransport(engineexport.KvTransport):
-    """Reads the exports of engines in other processes."""
+    """Reads the exports of other engines over HTTP."""
 
     __slots__ = ("_session",)
 
@@ -68,16 +71,18 @@
 class _EngineHandlers:
     """HTTP handlers of one engine."""
 
-    __slots__ = ("_engine", "_switch", "_timers")
+    __slots__ = ("_engine", "_fault_controller", "_timers")
 
     def __init__(self, engine: engines.Engine, clock: timers.Timers):
         self._engine = engine
         self._timers = clock
-        self._switch = enginefaultorder.FaultSwitch(engine, clock)
+        self._fault_controller = enginefaultcontrol.FaultController(
+            engine, clock
+        )
 
     def make_app(self) -> web.Application:
         app = web.Application(
-            middlewares=[self._answer_failures], client_max_size=MAX_BODY_BYTES
+            middlewares=[self._convert_failures], client_max_size=MAX_BODY_BYTES
         )
         app.router.add_post("/v1/generate", self._generate)
         app.router.add_post("/v1/cancel", self._cancel)
@@ -90,7 +95,7 @@
         return app
 
     @web.middleware
-    async def _answer_failures(
+    async def _convert_failures(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
         await self._engine.wait_for_pause()
@@ -111,26 +116,26 @@
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
         attempt = enginewire.parse_attempt(await request.read())
-        state = self._engine.submit(attempt)
+        engine_request = self._engine.submit(attempt)
         try:
-            return await self._stream(request, attempt, state)
+            return await self._stream(request, attempt, engine_request)
         finally:
-            self._engine.leave(state)
+            self._engine.release(engine_request)
 
     async def _stream(
         self,
         request: web.Request,
         attempt: attempts.Attempt,
-        state: enginerequest.EngineRequest,
+        engine_request: enginerequest.EngineRequest,
     ) -> web.StreamResponse:
         created = int(self._timers.read_wall())
         writer = enginesse.EventWriter(attempt, created)
-        stream = state.stream
-        # A failure before the first chunk is still an HTTP error.
+        stream = engine_request.stream
+        # A failure before the first chunk becomes an HTTP error status.
         await stream.make_waiter()
         if stream.failure is not None and not stream.items:
             raise failures.FailureError(stream.failure)
-        response = _make_stream("text/event-stream")
+        response = _make_stream_response("text/event-stream")
         await response.prepare(request)
         while True:
             data = b"".join([writer.write(each) for each in stream.items])
@@ -150,33 +155,33 @@
     async def _cancel(self, request: web.Request) -> web.StreamResponse:
         data = enginewire.parse_json(await request.read())
         known = self._engine.cancel(str(data.get("attempt_id")))
-        return _make_answer(enginewire.encode_json({"known": known}))
+        return _make_json_response(enginewire.encode_json({"known": known}))
 
     async def _load(self, request: web.Request) -> web.StreamResponse:
         report = self._engine.make_load_report()
-        return _make_answer(enginewire.encode_load(report))
+        return _make_json_response(enginewire.encode_load(report))
 
     async def _cache_events(self, request: web.Request) -> web.StreamResponse:
         after = _read_number(request, "after")
         events = self._engine.read_cache_events(after)
-        return _make_answer(enginewire.encode_cache_events(events))
+        return _make_json_response(enginewire.encode_cache_events(events))
 
     async def _kv(self, request: web.Request) -> web.StreamResponse:
         try:
             mode = engineexport.ReadMode(request.query.get("mode", ""))
         except ValueError:
             raise _make_bad_request("mode") from None
-        wanted = engineexport.ReadRequest(
+        read_request = engineexport.ReadRequest(
             request.match_info["handle"], mode, _read_number(request, "tokens")
         )
         response: web.StreamResponse | None = None
         try:
             async with contextlib.aclosing(
-                self._engine.read_kv(wanted)
+                self._engine.read_kv(read_request)
             ) as events:
                 async for event in events:
                     if response is None:
-                        response = _make_stream("application/x-ndjson")
+                        response = _make_stream_response("application/x-ndjson")
                         await response.prepare(request)
                     await _write_line(response, {"event": event.value})
         except failures.FailureError as error:
@@ -190,20 +195,24 @@
 
     async def _orders(self, request: web.Request) -> web.StreamResponse:
         order = enginewire.parse_order(await request.read())
-        return _make_answer(enginewire.encode_load(self._engine.obey(order)))
+        return _make_json_response(
+            enginewire.encode_load(self._engine.obey(order))
+        )
 
     async def _faults(self, request: web.Request) -> web.StreamResponse:
-        self._switch.apply(enginewire.parse_json(await request.read()))
-        return _make_answer(b"{}")
+        self._fault_controller.apply(
+            enginewire.parse_json(await request.read())
+        )
+        return _make_json_response(b"{}")
 
     async def _healthz(self, request: web.Request) -> web.StreamResponse:
-        return _make_answer(
+        return _make_json_response(
             enginewire.encode_json({"start_id": self._engine.start_id})
         )
 
 
 class _Listener:
-    """Opens and closes the engine's socket as it can be reached or not."""
+    """Listens on the engine's port only while the engine is reachable."""
 
     __slots__ = ("_changed", "_engine", "_host", "_port", "_runner", "_server")
 
@@ -216,10 +225,10 @@
         self._port = 0
         self._server: asyncio.Server | None = None
         self._changed = asyncio.Event()
-        engine.subscribe(self._note_change)
+        engine.subscribe(self._handle_change)
 
     async def open(self, port: int) -> int:
-        """Listens, and returns the port."""
+        """Starts to listen and returns the port."""
         handler = self._runner.server
         assert handler is not None
         loop = asyncio.get_running_loop()
@@ -228,31 +237,31 @@
         return self._port
 
     def close(self) -> None:
-        """Listens no more; connections stay."""
+        """Stops listening; connections stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    async def follow(self) -> None:
-        """Follows the engine until cancelled."""
+    async def reopen_when_reachable(self) -> None:
+        """Listens again each time the engine becomes reachable; never ends."""
         while True:
             await self._changed.wait()
             self._changed.clear()
             if self._engine.reachable and self._server is None:
                 await self.open(self._port)
 
-    def _note_change(self) -> None:
+    def _handle_change(self) -> None:
         if not self._engine.reachable:
             self.close()
-            self._break_connections()
+            self._drop_connections()
         self._changed.set()
 
-    def _break_connections(self) -> None:
+    def _drop_connections(self) -> None:
         handler = self._runner.server
         assert handler is not None
         for connection in handler.connections:
             if self._engine.alive:
-                # Idle connections close, the others after their answer.
+                # Closes idle connections now and others after their response.
                 connection.close()
             elif connection.transport is not None:
                 connection.transport.abort()  # type: ignore[attr-defined]
@@ -267,14 +276,14 @@
 ) -> AsyncIterator[str]:
     """Serves an engine over HTTP while the context is open.
 
-    The engine takes the address, and reads the KV cache of other engines over
-    HTTP.
+    Sets the address of the engine and makes it read the KV cache of other
+    engines over HTTP.
 
     Args:
       engine: the engine.
       clock: timer service.
-      host: IP number to listen on.
-      port: port to listen on, 0 for a free one.
+      host: IP address to listen on.
+      port: port to listen on; 0 selects a free one.
 
     Yields:
       The address, ``host:port``.
@@ -292,19 +301,19 @@
         await stack.enter_async_context(session)
         engine.connect(HttpKvTransport(session))
         engine.address = f"{host}:{await listener.open(port)}"
-        follower = asyncio.ensure_future(listener.follow())
-        stack.callback(follower.cancel)
+        reopening = asyncio.ensure_future(listener.reopen_when_reachable())
+        stack.callback(reopening.cancel)
         yield engine.address
 
 
-def _make_stream(content_type: str) -> web.StreamResponse:
+def _make_stream_response(content_type: str) -> web.StreamResponse:
     response = web.StreamResponse()
     response.content_type = content_type
     response.headers["Cache-Control"] = "no-cache"
     return response
 
 
-def _make_answer(body: bytes) -> web.Response:
+def _make_json_response(body: bytes) -> web.Response:
     return web.Response(body=body, content_type=_JSON)
 
 
--- a/rhubarblock/standins/engine/server_test.py
+++ b/rhubarblock/standins/engine/server_test.py
@@ -20,14 +20,14 @@
 
 
 class FixedTimers(timers.LoopTimers):
-    """Real time, but a wall clock that stands still."""
+    """Real timers with a fixed wall clock."""
 
     def read_wall(self):
         return WALL_S
 
 
 class HttpBench:
-    """Engines behind HTTP, and a client of them."""
+    """Engines behind HTTP and a client of them."""
 
     def __init__(self, session, clock, fleet):
         self.session = session
@@ -41,7 +41,7 @@
             testing.collect(self.client, self.clock, address, attempt)
         )
 
-    async def switch(self, **fault):
+    async def set_fault(self, **fault):
         url = f"http://{self.fleet[0].address}/v1/faults"
         async with self.session.post(url, json=fault) as response:
             return response.status, await response.read()
@@ -85,7 +85,7 @@
     ).encode()
 
 
-def test_the_answer_is_written_byte_by_byte_as_published():
+def test_the_answer_has_the_documented_bytes():
     async def body(bench):
         attempt = testing.make_attempt("r/1", 1000, 3)
         blocks = []
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("interval", [1, 4])
-def test_chunks_come_one_token_each(interval):
+def test_each_event_carries_one_token(interval):
     async def body(bench):
         return await bench.start(0, testing.make_attempt("r/1", 100, 10))
 
@@ -120,7 +120,7 @@
     assert answer.chunks[-1].finish_reason == "length"
 
 
-def test_every_call_makes_its_round_trip():
+def test_every_call_round_trips_over_http():
     async def body(bench):
         blocks = testing.make_blocks("b", 1)
         attempt = testing.make_attempt("r/1", 600, 1, prefix_blocks=blocks)
@@ -148,7 +148,7 @@
     assert known is False
 
 
-def test_refusals_are_errors_in_json():
+def test_refusals_are_json_errors():
     async def body(bench):
         url = f"http://{bench.fleet[0].address}/v1/"
         found = []
@@ -195,7 +195,7 @@
     assert run(body) == 1
 
 
-def test_kv_cache_passes_between_servers():
+def test_kv_cache_is_copied_between_servers():
     async def body(bench):
         first, second = bench.fleet
         source = attempts.KvSource(first.address, "r/1", 5000)
@@ -216,7 +216,7 @@
     assert run(body, count=2) == (text, 0, {})
 
 
-def test_a_group_of_servers_serves_a_prompt_larger_than_one():
+def test_a_group_of_servers_serves_a_prompt_too_large_for_one():
     async def body(bench):
         sources = ()
         tasks = []
@@ -256,13 +256,13 @@
         assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
 
 
-def test_a_dying_engine_breaks_streams_refuses_and_comes_back():
+def test_a_killed_engine_breaks_streams_refuses_calls_and_restarts():
     async def body(bench):
         engine = bench.fleet[0]
         old_id = engine.start_id
         task = bench.start(0, testing.make_attempt("r/1", 1000, 100_000))
         await bench.wait_for(lambda: engine.counters.tokens > 3)
-        await bench.switch(kind="die", restart_after_s=0.2)
+        await bench.set_fault(kind="die", restart_after_s=0.2)
         broken = (await task).failure
         refused = await bench.start(0, testing.make_attempt("s/1", 10))
         await bench.wait_for(lambda: engine.alive)
@@ -270,17 +270,17 @@
         again = await bench.start(0, testing.make_attempt("s/2", 10))
         return broken, refused.failure, again.whole, old_id != engine.start_id
 
-    broken, refused, whole, anew = run(body)
+    broken, refused, whole, restarted = run(body)
     assert broken.code is failures.FailureCode.STREAM_CUT
     assert broken.verdict is verdicts.Verdict.MAY_HAVE_RUN
     assert refused.verdict is verdicts.Verdict.NOT_RUN
-    assert (whole, anew) == (True, True)
+    assert (whole, restarted) == (True, True)
 
 
-def test_a_paused_engine_accepts_but_answers_later():
+def test_a_paused_engine_accepts_calls_and_answers_afterwards():
     async def body(bench):
         engine = bench.fleet[0]
-        await bench.switch(kind="pause", seconds=0.3)
+        await bench.set_fault(kind="pause", seconds=0.3)
         await bench.wait_for(lambda: engine.paused)
         end_s = engine.faults.pause_until_s
         answer = await bench.start(0, testing.make_attempt("r/1", 10))
@@ -289,7 +289,7 @@
     assert run(body) == (True, True)
 
 
-def test_refused_connections_leave_running_streams_alone():
+def test_refusing_connections_does_not_affect_open_streams():
     async def body(bench):
         task = bench.start(0, testing.make_attempt("r/1", 100, 40))
         await bench.wait_for(bench.fleet[0].kv_held)
@@ -300,9 +300,9 @@
     assert run(body) == (verdicts.Verdict.NOT_RUN, True)
 
 
-def test_a_cut_stream_has_no_end():
+def test_a_cut_stream_has_no_end_event():
     async def body(bench):
-        await bench.switch(kind="cut")
+        await bench.set_fault(kind="cut")
         attempt = testing.make_attempt("r/1", 100, 5)
         address = bench.fleet[0].address
         async with bench.client.open_raw(address, attempt) as answer:
@@ -330,10 +330,10 @@
 def test_faults_are_switched_on_and_off(fault, name, value):
     async def body(bench):
         faults = bench.fleet[0].faults
-        sound = getattr(faults, name)
-        status = await bench.switch(**fault)
+        default = getattr(faults, name)
+        status = await bench.set_fault(**fault)
         found = getattr(faults, name)
-        await bench.switch(kind="clear")
-        return status, found, getattr(faults, name) == sound
+        await bench.set_fault(kind="clear")
+        return status, found, getattr(faults, name) == default
 
     assert run(body) == ((200, b"{}"), value, True)
--- a/rhubarblock/standins/engine/settings.py
+++ b/rhubarblock/standins/engine/settings.py
@@ -1,43 +1,43 @@
-"""Settings of the stand-in engine, with the defaults that we measure by."""
+"""Settings of the stand-in engine, with the defaults of the experiments."""
 
 import dataclasses
 
 from rhubarblock.core import endpoint as endpoints
 
 BLOCK_TOKENS = 512  # Tokens of one block of the prefix cache.
-# Moments closer than this are the same one; the rest is rounding.
+# Times closer together than this are equal; the difference is rounding.
 RESOLUTION_S = 1e-6
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineSettings:
-    """How large and how fast an engine is.
+    """Size and speed of an engine.
 
     Attributes:
       iteration_s: fixed cost of one iteration in seconds.
       decode_s: cost of each running decode in one iteration, in seconds.
       prefill_tokens_per_s: rate at which an iteration computes prompts.
-      mixed_chunk_tokens: prefill tokens of one iteration while the engine
-        decodes.
-      prefill_chunk_tokens: prefill tokens of one iteration otherwise, and
-        always with the prefill role.
+      mixed_chunk_tokens: maximum prefill tokens of one iteration while the
+        engine decodes.
+      prefill_chunk_tokens: maximum prefill tokens of one iteration otherwise,
+        and always with the prefill role.
       kv_tokens: KV memory in tokens.
-      copy_tokens_per_s: rate of KV export and import.
-      stream_interval: decoded tokens sent together; the first token and the
-        end are never held back. Larger values make long experiments faster.
-      window_tokens: memory that reading segments of other engines takes.
+      copy_tokens_per_s: rate at which KV cache is copied between engines.
+      stream_interval: decoded tokens sent in one chunk; the first token and
+        the end are never delayed. Larger values make long experiments faster.
+      window_tokens: KV memory reserved for reading segments of other engines.
       load_lag_s: age of the state that a load report describes.
-      event_lag_s: delay of the cache events.
-      event_loss: share of the cache events that are never shown.
-      export_ttl_s: time that an export waits for a reader.
-      segment_ttl_s: time that a segment is kept after its last reader.
-      handle_wait_s: time that a reader waits for an export to be opened.
+      event_lag_s: delay until a cache event can be read.
+      event_loss: share of the cache events that are lost.
+      export_ttl_s: time for which an export is kept without a reader.
+      segment_ttl_s: time for which a segment is kept after its last reader.
+      handle_wait_s: time for which a reader waits for an export to exist.
       role: role after a start.
       models: models loaded after a start, ``name@version``.
       adapters: adapters loaded after a start.
-      model_load_s: shortest time to load a model.
+      model_load_s: minimum time to load a model.
       model_bytes: size of a model in the weight store.
-      adapter_load_s: shortest time to load an adapter.
+      adapter_load_s: minimum time to load an adapter.
       adapter_bytes: size of an adapter in the weight store.
       checks_fencing: whether orders with an old fencing number are refused.
     """
--- a/rhubarblock/standins/engine/sse.py
+++ b/rhubarblock/standins/engine/sse.py
@@ -1,4 +1,4 @@
-"""The answer of the stand-in engine as server-sent events."""
+"""Answers of the stand-in engine encoded as server-sent events."""
 
 import json
 from typing import Any
@@ -9,10 +9,10 @@
 
 
 class EventWriter:
-    """Writes the chunks of one stream as bytes.
+    """Encodes the chunks of one stream as bytes.
 
     Attributes:
-      finished: whether the end of the stream's own attempt was written.
+      finished: whether the end chunk of the stream's attempt was written.
     """
 
     __slots__ = ("_attempt", "_created", "_middle", "_prefix", "finished")
@@ -21,8 +21,8 @@
         """Creates a writer.
 
         Args:
-          attempt: the attempt whose stream it is.
-          created: its beginning in seconds since 1970.
+          attempt: the attempt that the stream belongs to.
+          created: Unix time of its start in seconds.
         """
         self._attempt = attempt
         self._created = created
@@ -35,9 +35,9 @@
         )
 
     def write(self, chunk: attempts.Chunk) -> bytes:
-        """Returns a chunk as events, one for each token."""
-        own = chunk.attempt_id == self._attempt.attempt_id
-        prefix = self._prefix if own else _make_prefix(chunk.attempt_id)
+        """Returns a chunk as events, one event for each token."""
+        is_own = chunk.attempt_id == self._attempt.attempt_id
+        prefix = self._prefix if is_own else _make_prefix(chunk.attempt_id)
         if chunk.count == 1 and not chunk.end:
             return self._write_token(prefix, chunk.index, chunk.text).encode()
         texts = _split_tokens(chunk)
@@ -49,11 +49,11 @@
         if chunk.end:
             offset = chunk.index + len(texts)
             events.append(self._write_end(prefix, offset, last, chunk))
-            self.finished = self.finished or own
+            self.finished = self.finished or is_own
         return "".join(events).encode()
 
     def write_done(self) -> bytes:
-        """Returns the mark behind a whole answer, or nothing."""
+        """Returns the end marker if the answer is complete, else no bytes."""
         return enginewire.DONE_EVENT if self.finished else b""
 
     def _write_token(self, prefix: str, offset: int, text: str) -> str:
@@ -89,7 +89,7 @@
 
 
 def _split_tokens(chunk: attempts.Chunk) -> list[str]:
-    """Returns the text of each token, one empty text if there is none."""
+    """Returns the text of each token, or one empty text without tokens."""
     size = enginetokens.TOKEN_CHARS
     return [
         chunk.text[start : start + size]
--- a/rhubarblock/standins/engine/stream.py
+++ b/rhubarblock/standins/engine/stream.py
@@ -1,6 +1,7 @@
-"""A one-way stream from an engine to the one task that reads it.
+"""A stream of items from an engine to a single reader.
 
-Cheaper than ``asyncio.Queue``: one wake for all that is put in one iteration.
+It is cheaper than ``asyncio.Queue``: the reader wakes up once for all items
+that one iteration adds.
 """
 
 import asyncio
@@ -15,12 +16,12 @@
 
 
 class Stream(Generic[T]):
-    """Items in order, then an end, which a failure may explain.
+    """An ordered stream of items that ends normally or with a failure.
 
     Attributes:
-      items: what was put and not yet taken.
-      closed: whether nothing more will be put.
-      failure: why it was closed before its time, or None.
+      items: items that have not been read yet.
+      closed: whether no more items can be added.
+      failure: the failure that ended the stream early, or None.
     """
 
     __slots__ = ("_waiter", "closed", "failure", "items")
@@ -32,7 +33,7 @@
         self._waiter: asyncio.Future[None] | None = None
 
     def put(self, item: T) -> None:
-        """Adds an item; one put after the end is dropped."""
+        """Adds an item; ignored once the stream is closed."""
         if self.closed:
             return
         self.items.append(item)
@@ -43,7 +44,7 @@
                 waiter.set_result(None)
 
     def close(self, failure: failures.Failure | None = None) -> None:
-        """Ends the stream after the items that it still holds."""
+        """Closes the stream; items that it still holds can be read."""
         if self.closed:
             return
         self.closed = True
@@ -55,9 +56,9 @@
                 waiter.set_result(None)
 
     def make_waiter(self) -> asyncio.Future[None]:
-        """Returns what is done once there is an item or the end.
+        """Returns a future that is done once there is an item or the end.
 
-        A stream has one reader, so an earlier future is forgotten.
+        A stream has a single reader, so this replaces an earlier future.
         """
         waiter: asyncio.Future[None] = asyncio.Future()
         if self.items or self.closed:
@@ -67,7 +68,7 @@
         return waiter
 
     async def read(self) -> AsyncGenerator[T, None]:
-        """Yields the items up to the end.
+        """Yields the items until the stream is closed.
 
         Raises:
           failure.FailureError: the stream was closed with a failure.
--- a/rhubarblock/standins/engine/testing.py
+++ b/rhubarblock/standins/engine/testing.py
@@ -1,4 +1,4 @@
-"""Short ways to set up stand-in engines and attempts in tests."""
+"""Helpers that set up stand-in engines and attempts in tests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What came of one attempt.
+    """The answer to one attempt.
 
     Attributes:
-      chunks: all chunks in the order in which they came.
-      times_s: when each came.
-      failure: what ended it before its time, or None.
+      chunks: all chunks in order of arrival.
+      times_s: monotonic time at which each chunk arrived.
+      failure: failure that ended it early, or None.
     """
 
     chunks: list[attempts.Chunk]
@@ -36,19 +36,19 @@
 
     @property
     def text(self) -> str:
-        """The text of all chunks."""
+        """Concatenated text of all chunks."""
         return "".join(chunk.text for chunk in self.chunks)
 
     @property
     def whole(self) -> bool:
-        """Whether it ended with an end chunk."""
+        """Whether its last chunk is an end chunk."""
         return bool(self.chunks) and self.chunks[-1].end
 
 
 def make_attempt(
     attempt_id: str, prompt_tokens: int, max_tokens: int = 1, **fields: Any
 ) -> attempts.Attempt:
-    """Returns an attempt; its digest is its request id.
+    """Returns an attempt whose digest is its request id.
 
     Args:
       attempt_id: ``request_id/number``.
@@ -73,18 +73,18 @@
 
 
 def make_blocks(name: str, count: int) -> tuple[str, ...]:
-    """Returns names of a prompt's first blocks."""
+    """Returns names for the first prefix blocks of a prompt."""
     return tuple(f"{name}{number}" for number in range(count))
 
 
 def make_engine(
     clock: timers.Timers, address: str = "a:1", **settings: Any
 ) -> engines.Engine:
-    """Returns an engine without loss of cache events unless asked for.
+    """Returns an engine that loses no cache events by default.
 
     Args:
       clock: timer service.
-      address: its address, also its name.
+      address: its address and endpoint id.
       **settings: fields of its settings.
     """
     values = {"event_loss": 0.0, **settings}
@@ -98,12 +98,12 @@
 
 
 class Bench:
-    """Equal engines in a cluster, and a client of them.
+    """A cluster of engines with equal settings, and a client.
 
     Attributes:
       clock: timer service of the running loop.
       cluster: the engines.
-      client: client of the engines.
+      client: client of the cluster.
     """
 
     __slots__ = ("_addresses", "client", "clock", "cluster")
@@ -112,7 +112,7 @@
         """Creates the engines.
 
         Args:
-          addresses: their addresses, separated by spaces.
+          addresses: their addresses separated by spaces.
           **settings: fields of their settings.
         """
         self._addresses = addresses.split()
@@ -135,7 +135,7 @@
         address: str = "a:1",
         **fields: Any,
     ) -> asyncio.Task[Answer]:
-        """Starts an attempt; see ``make_attempt`` for its arguments."""
+        """Starts an attempt in a task; see ``make_attempt`` for arguments."""
         attempt = make_attempt(attempt_id, prompt_tokens, max_tokens, **fields)
         return asyncio.ensure_future(
             collect(self.client, self.clock, address, attempt)
@@ -146,7 +146,7 @@
         return await self.start(*args, **fields)
 
     def list_held(self) -> list[dict[str, int]]:
-        """Returns what each engine holds, in tokens by attempt."""
+        """Returns the KV tokens that each engine holds, by attempt id."""
         return [engine.kv_held() for engine in self.cluster]
 
 
@@ -155,11 +155,11 @@
     addresses: str = "a:1",
     **settings: Any,
 ) -> T:
-    """Runs a coroutine with a bench on a fake clock, from 0 s on.
+    """Runs a coroutine with a ``Bench`` on a virtual clock that starts at 0 s.
 
     Args:
-      body: takes the bench.
-      addresses: addresses of the engines, separated by spaces.
+      body: coroutine function that takes the ``Bench``.
+      addresses: addresses of the engines separated by spaces.
       **settings: fields of their settings.
     """
 
@@ -175,7 +175,7 @@
     address: str,
     attempt: attempts.Attempt,
 ) -> Answer:
-    """Runs an attempt to its end."""
+    """Runs an attempt to its end and collects its answer."""
     answer = Answer([], [])
     try:
         async for chunk in client.generate(address, attempt):
--- a/rhubarblock/standins/engine/tokens.py
+++ b/rhubarblock/standins/engine/tokens.py
@@ -1,25 +1,26 @@
-"""The text that the stand-in engine generates.
+"""Text that the stand-in engine generates.
 
-Token ``index`` of an answer depends only on the digest of the body, so a test
-can tell from the text alone whether an answer is whole and the caller's own.
+A token depends only on the digest of the request's body and on its index in
+the answer, so a test can tell from the text alone whether an answer is complete
+and belongs to its request.
 """
 
 import functools
 import hashlib
 
 TOKEN_CHARS = 7  # A space and six hexadecimal digits.
-GROUP_TOKENS = 20  # Tokens made at a time.
+GROUP_TOKENS = 20  # Tokens derived from one hash.
 _TOKEN_BYTES = 3
 _GROUP_BYTES = GROUP_TOKENS * _TOKEN_BYTES
 
 
 @functools.lru_cache(maxsize=16_384)
 def make_group(digest: str, group: int) -> tuple[str, ...]:
-    """Returns the texts of ``GROUP_TOKENS`` tokens, which one hash gives.
+    """Returns the texts of ``GROUP_TOKENS`` tokens derived from one hash.
 
     Args:
       digest: digest of the request's body.
-      group: index of the first of them, divided by ``GROUP_TOKENS``.
+      group: index of the first token divided by ``GROUP_TOKENS``.
     """
     hashed = hashlib.blake2b(
         f"{group}:{digest}".encode(), digest_size=_GROUP_BYTES
@@ -33,13 +34,13 @@
 
     Args:
       digest: digest of the request's body.
-      index: index of the token in the whole answer.
+      index: index of the token in the complete answer.
     """
     return make_group(digest, index // GROUP_TOKENS)[index % GROUP_TOKENS]
 
 
 def expected_text(digest: str, first: int, last: int) -> str:
-    """Returns the text of the tokens from ``first`` up to, without, ``last``.
+    """Returns the text of the tokens from ``first`` to ``last`` (exclusive).
 
     Args:
       digest: digest of the request's body.
--- a/rhubarblock/standins/engine/tokens_test.py
+++ b/rhubarblock/standins/engine/tokens_test.py
@@ -10,7 +10,7 @@
 
 
 def test_tokens_never_change():
-    # Recorded once; answers compared across versions rest on it.
+    # Tests compare answers across versions, so the text must stay the same.
     assert enginetokens.expected_text("d", 18, 22) == (
         " 213f10 4f155f c5176a 0e264b"
     )
@@ -25,7 +25,7 @@
     assert len(tokens) == 300
 
 
-def test_a_text_is_its_tokens_together():
+def test_a_text_is_the_concatenation_of_its_tokens():
     for first, last in ((0, 0), (3, 4), (0, 20), (19, 21), (5, 95)):
         tokens = [
             enginetokens.make_token("d", index) for index in range(first, last)
--- a/rhubarblock/standins/engine/weights.py
+++ b/rhubarblock/standins/engine/weights.py
@@ -1,4 +1,4 @@
-"""The weight store, and the models that an engine has loaded from it."""
+"""The weight store and the models that an engine has loaded from it."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,40 +11,48 @@
 
 
 class WeightStore:
-    """Serves one read after another at a fixed rate.
+    """Serves reads one after another at a fixed rate.
 
     Attributes:
-      bytes_per_s: rate of all reads together.
-      reads: number of reads begun.
-      bytes_read: bytes of these reads.
+      bytes_per_s: total rate of all reads.
+      reads: number of reads started.
+      bytes_read: total size of these reads in bytes.
     """
 
-    __slots__ = ("_free_s", "_timers", "bytes_per_s", "bytes_read", "reads")
+    __slots__ = (
+        "_busy_until_s",
+        "_timers",
+        "bytes_per_s",
+        "bytes_read",
+        "reads",
+    )
 
     def __init__(
         self, clock: timers.Timers, bytes_per_s: float = DEFAULT_BYTES_PER_S
     ):
         self._timers = clock
-        self._free_s = 0.0
+        self._busy_until_s = 0.0
         self.bytes_per_s = bytes_per_s
         self.reads = 0
         self.bytes_read = 0
 
     async def read(self, size: int) -> None:
-        """Waits until a number of bytes was read behind the earlier reads.
+        """Reads a number of bytes once all earlier reads are done.
 
         Args:
           size: size in bytes.
         """
         now_s = self._timers.read_monotonic()
-        self._free_s = max(self._free_s, now_s) + size / self.bytes_per_s
+        self._busy_until_s = (
+            max(self._busy_until_s, now_s) + size / self.bytes_per_s
+        )
         self.reads += 1
         self.bytes_read += size
-        await self._timers.sleep(self._free_s - now_s)
+        await self._timers.sleep(self._busy_until_s - now_s)
 
 
 class ModelSet:
-    """Models and adapters of an engine: loaded, or being loaded."""
+    """The loaded models and adapters of an engine, and the loads under way."""
 
     __slots__ = (
         "_loading",
@@ -66,10 +74,10 @@
         """Creates the set of an engine that just started.
 
         Args:
-          settings: what is loaded at first, sizes and times.
+          settings: initial models and adapters, their sizes and load times.
           clock: timer service.
-          store: where weights are read from.
-          on_change: called when a load is done.
+          store: store that weights are read from.
+          on_change: called when a load is complete.
         """
         self._settings = settings
         self._timers = clock
@@ -80,10 +88,10 @@
         self.adapters = settings.adapters
 
     def find_version(self, name: str) -> str | None:
-        """Returns the ``name@version`` that serves a name, or None.
+        """Returns the loaded ``name@version`` or adapter for a name, or None.
 
         Args:
-          name: a model, with or without its version, or an adapter.
+          name: name of a model, with or without version, or of an adapter.
         """
         for model in self.models:
             if name in (model, model.partition("@")[0]):
@@ -91,12 +99,12 @@
         return name if name in self.adapters else None
 
     def apply(self, order: attempts.Order) -> None:
-        """Unloads what an order doesn't name and starts to load the rest."""
+        """Unloads what an order doesn't name and loads what is missing."""
         wanted = set(order.models) | set(order.adapters)
         for name in [name for name in self._loading if name not in wanted]:
             self._loading.pop(name).cancel()
-        self.models = _keep(self.models, order.models)
-        self.adapters = _keep(self.adapters, order.adapters)
+        self.models = _retain(self.models, order.models)
+        self.adapters = _retain(self.adapters, order.adapters)
         for name in order.models:
             if name not in self.models:
                 self._start_load(name, is_adapter=False)
@@ -105,7 +113,7 @@
                 self._start_load(name, is_adapter=True)
 
     def stop(self) -> None:
-        """Gives up all loads."""
+        """Cancels all loads."""
         for task in self._loading.values():
             task.cancel()
         self._loading.clear()
@@ -119,13 +127,13 @@
     async def _load(self, name: str, is_adapter: bool) -> None:
         settings = self._settings
         size = settings.adapter_bytes if is_adapter else settings.model_bytes
-        least_s = (
+        min_load_s = (
             settings.adapter_load_s if is_adapter else settings.model_load_s
         )
         start_s = self._timers.read_monotonic()
         await self._store.read(size)
-        rest_s = start_s + least_s - self._timers.read_monotonic()
-        await self._timers.sleep(max(0.0, rest_s))
+        remaining_s = start_s + min_load_s - self._timers.read_monotonic()
+        await self._timers.sleep(max(0.0, remaining_s))
         del self._loading[name]
         if is_adapter:
             self.adapters += (name,)
@@ -134,5 +142,7 @@
         self._on_change()
 
 
-def _keep(loaded: tuple[str, ...], wanted: tuple[str, ...]) -> tuple[str, ...]:
+def _retain(
+    loaded: tuple[str, ...], wanted: tuple[str, ...]
+) -> tuple[str, ...]:
     return tuple(name for name in loaded if name in wanted)
--- a/rhubarblock/standins/engine/weights_test.py
+++ b/rhubarblock/standins/engine/weights_test.py
@@ -26,7 +26,7 @@
     return virtualloop.run(main())
 
 
-def test_a_load_takes_at_least_its_time():
+def test_a_load_takes_at_least_its_minimum_time():
     async def body(clock, store, models, _):
         models.apply(make_order("new@1", adapters=("fine",)))
         found = []
@@ -42,9 +42,9 @@
     ]
 
 
-def test_the_store_bounds_loads_of_all_engines_together():
+def test_engines_share_the_rate_of_the_weight_store():
     async def body(clock, store, first, second):
-        # A read takes 160 s, the second one waits for the first.
+        # Each read takes 160 s; the second one waits for the first.
         first.apply(make_order("new@1"))
         await asyncio.sleep(0)
         second.apply(make_order("new@1"))
@@ -69,7 +69,7 @@
     assert run(body) == (("default@1", "new@1"), 1)
 
 
-def test_a_load_no_longer_wanted_is_given_up():
+def test_a_later_order_without_the_model_cancels_its_load():
     async def body(clock, store, models, _):
         models.apply(make_order("default@1", "new@1"))
         await clock.sleep(5.0)
@@ -80,7 +80,7 @@
     assert run(body) == ("default@1",)
 
 
-def test_a_name_finds_its_loaded_version():
+def test_a_name_resolves_to_its_loaded_version():
     async def body(clock, store, models, _):
         names = ("default", "default@1", "default@2", "def")
         return [models.find_version(name) for name in names]
--- a/rhubarblock/standins/instancelist.py
+++ b/rhubarblock/standins/instancelist.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's list of instances, which lags behind reality.
+"""Stand-in for the platform's list of instances, which is out of date.
 
-Reality is the objects ``instances/<id>`` of the stand-in platform; the list
-shows them as they were some seconds ago.
+The actual state is the objects ``instances/<id>`` of the stand-in platform; the
+list returns them as they were some seconds ago.
 """
 
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class InstanceListSettings:
-    """How the list behaves.
+    """Settings of the instance list.
 
     Attributes:
-      lag_s: seconds by which it is behind reality.
+      lag_s: age in seconds of the state that the list returns.
     """
 
     lag_s: float = 5.0
@@ -25,37 +25,37 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Change:
-    shown_s: float
+    visible_s: float
     name: str
     instance: instances.ListedInstance | None
 
 
 class InstanceList:
-    """Follows the objects of a store and shows them later."""
+    """Lists the instance objects of a store with a lag."""
 
-    __slots__ = ("_changes", "_settings", "_shown", "_store")
+    __slots__ = ("_pending_changes", "_settings", "_store", "_visible")
 
     def __init__(
         self,
         store: platform.MemoryStore,
         settings: InstanceListSettings | None = None,
     ):
-        """Starts to follow a store.
+        """Creates a list that watches a store.
 
         Args:
-          store: stand-in platform that holds reality.
-          settings: lag, or None for the defaults.
+          store: stand-in platform that holds the instance objects.
+          settings: lag, or None for the default.
         """
         self._store = store
         self._settings = settings or InstanceListSettings()
-        self._shown: dict[str, instances.ListedInstance] = {}
-        self._changes: list[_Change] = []
+        self._visible: dict[str, instances.ListedInstance] = {}
+        self._pending_changes: list[_Change] = []
         for stored in store.state.find_all(instances.OBJECT_PREFIX):
-            self._shown[stored.name] = instances.decode_instance(stored.value)
-        store.state.add_listener(self._hear)
+            self._visible[stored.name] = instances.decode_instance(stored.value)
+        store.state.add_listener(self._handle_event)
 
     def put(self, instance: instances.ListedInstance) -> None:
-        """Makes an instance part of reality, or changes it, as its owner."""
+        """Writes the object of an instance, as the instance itself would."""
         name = instances.name_object(instance.instance_id)
         present = self._store.state.find(name)
         self._store.state.write(
@@ -66,14 +66,14 @@
         )
 
     def mark_leaving(self, instance_id: str) -> None:
-        """Marks an instance as about to stop."""
+        """Marks an instance as about to stop, if it exists."""
         present = self._store.state.find(instances.name_object(instance_id))
         if present is not None:
             instance = instances.decode_instance(present.value)
             self.put(dataclasses.replace(instance, leaving=True))
 
     def remove(self, instance_id: str) -> None:
-        """Takes an instance out of reality, as when it has died."""
+        """Deletes the object of an instance, as when it has died."""
         name = instances.name_object(instance_id)
         present = self._store.state.find(name)
         if present is not None:
@@ -81,47 +81,50 @@
             self._store.state.delete(name, present.version, now_s)
 
     def list_instances(self) -> list[instances.ListedInstance]:
-        """Returns reality as it was ``lag_s`` ago, by instance id."""
+        """Returns the instances as of ``lag_s`` ago, sorted by instance id."""
         if not self._store.faults.list_frozen:
-            self._show_due_changes()
-        return [self._shown[name] for name in sorted(self._shown)]
+            self._apply_due_changes()
+        return [self._visible[name] for name in sorted(self._visible)]
 
     def connect(self, client_id: str) -> "MemoryInstanceSource":
-        """Returns the list as one client of the platform reads it."""
+        """Returns a source that reads the list as a client of the platform."""
         return MemoryInstanceSource(self, self._store.connect(client_id))
 
-    def _show_due_changes(self) -> None:
+    def _apply_due_changes(self) -> None:
         now_s = self._store.timers.read_monotonic()
-        while self._changes and self._changes[0].shown_s <= now_s:
-            change = self._changes.pop(0)
+        while (
+            self._pending_changes
+            and self._pending_changes[0].visible_s <= now_s
+        ):
+            change = self._pending_changes.pop(0)
             if change.instance is None:
-                self._shown.pop(change.name, None)
+                self._visible.pop(change.name, None)
             else:
-                self._shown[change.name] = change.instance
+                self._visible[change.name] = change.instance
 
-    def _hear(self, event: platformstate.Event) -> None:
+    def _handle_event(self, event: platformstate.Event) -> None:
         stored = event.after
         if not stored.name.startswith(instances.OBJECT_PREFIX):
             return
         instance = None
         if not stored.deleted:
             instance = instances.decode_instance(stored.value)
-        shown_s = event.at_s + self._settings.lag_s
-        self._changes.append(_Change(shown_s, stored.name, instance))
+        visible_s = event.at_s + self._settings.lag_s
+        self._pending_changes.append(_Change(visible_s, stored.name, instance))
 
 
 class MemoryInstanceSource(instances.InstanceSource):
-    """Reads the list without sockets, within the platform's limits."""
+    """Reads the list in memory, subject to the platform's limits and faults."""
 
-    __slots__ = ("_connection", "_list")
+    __slots__ = ("_connection", "_instance_list")
 
     def __init__(
         self, instance_list: InstanceList, connection: platform.Connection
     ):
-        """Creates a source; see ``InstanceList.connect``."""
-        self._list = instance_list
+        """Creates a source; use ``InstanceList.connect``."""
+        self._instance_list = instance_list
         self._connection = connection
 
     async def fetch_instances(self) -> list[instances.ListedInstance]:
         await self._connection.check_list_call()
-        return self._list.list_instances()
+        return self._instance_list.list_instances()
--- a/rhubarblock/standins/instancelist_test.py
+++ b/rhubarblock/standins/instancelist_test.py
@@ -1,4 +1,4 @@
-"""Tests of the lagging list of instances."""
+"""Tests of the list of instances and its lag."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from rhubarblock.standins.platform import store as platform
 from rhubarblock.store import instances
 
-DESK = instances.ListedInstance(
+SERVICE_INSTANCE = instances.ListedInstance(
     instance_id="desk-1",
     address="127.0.0.1:9",
     data_centre="osu-hall",
@@ -24,14 +24,14 @@
     return [i.instance_id + "-" * i.leaving for i in listed]
 
 
-def test_list_lags_behind_reality() -> None:
+def test_list_lags_behind_the_instance_objects() -> None:
     async def main() -> list[list[str]]:
         store = platform.MemoryStore(
             timer_service.LoopTimers(0.0), random.Random(1)
         )
         lagging = instancelist.InstanceList(store)
         source = lagging.connect("one")
-        lagging.put(DESK)
+        lagging.put(SERVICE_INSTANCE)
         seen = [await list_ids(source)]
         await asyncio.sleep(5)
         seen.append(await list_ids(source))
@@ -67,8 +67,8 @@
         lagging = instancelist.InstanceList(store, settings)
         name = instances.name_object("desk-1")
         await store.write(
-            name, instances.encode_instance(DESK), positions.NOWHERE
+            name, instances.encode_instance(SERVICE_INSTANCE), positions.NOWHERE
         )
         return await lagging.connect("one").fetch_instances()
 
-    assert virtualloop.run(main()) == [DESK]
+    assert virtualloop.run(main()) == [SERVICE_INSTANCE]
--- a/rhubarblock/standins/memoryfleet.py
+++ b/rhubarblock/standins/memoryfleet.py
@@ -1,7 +1,7 @@
-"""Several entry instances' membership on one network in memory.
+"""The membership of several entry instances on one network in memory.
 
-Tests and measurements of the fleet build on it: it starts instances, kills,
-pauses and cuts them off, with the stand-in platform's lagging list behind.
+Tests and measurements of the fleet use it to start, kill, pause and partition
+instances. The instances read the lagging list of a stand-in platform.
 """
 
 from collections.abc import AsyncIterator
@@ -27,12 +27,12 @@
     """One instance of a ``MemoryFleet``.
 
     Attributes:
-      membership: its view of the others.
-      peers: its transport.
-      timers: its timers, which stand still while it is paused.
-      store: the platform as it sees it.
+      membership: its view of the other instances.
+      peers: its peer transport.
+      timers: its timers, which do not fire while it is paused.
+      store: its connection to the platform.
       rng: its random numbers.
-      stack: what is closed when it stops.
+      stack: resources to close when it stops.
     """
 
     membership: memberships.Membership
@@ -44,24 +44,24 @@
 
     @property
     def instance_id(self) -> str:
-        """Its unique name."""
+        """Unique name of the instance."""
         return self.membership.own.instance_id
 
     @property
     def address(self) -> str:
-        """Its address on the network."""
+        """Address on the network."""
         return self.peers.address
 
 
 class MemoryFleet:
-    """Instances, their network, and the platform beside them.
+    """Instances, the network between them and the platform.
 
     Attributes:
-      timers: the timer service of the network and the platform.
-      network: the network between the instances.
-      platform: the object API.
-      listing: the lagging list.
-      nodes: the instances that run, by id.
+      timers: timer service of the network and the platform.
+      network: network between the instances.
+      platform: object API of the platform.
+      listing: lagging list of instances.
+      nodes: instances by id, from their creation until they are killed.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         Args:
           seed: seed of everything random.
           loss: probability that a message is lost.
-          settings: those of membership.
+          settings: settings of membership, or None for the defaults.
         """
         self._seed = seed
         self._settings = settings
@@ -97,13 +97,13 @@
         plan: probing.ProbePlan | None = None,
         seeds: Sequence[str] = (),
     ) -> FleetNode:
-        """Creates an instance that does not run yet and lists it.
+        """Creates an instance without starting it and adds it to the list.
 
         Args:
-          instance_id: unique name; the same one again is a restart.
-          data_centre: where it runs.
-          plan: choice of the instances that it probes.
-          seeds: addresses that it asks beside the list.
+          instance_id: unique name; reusing a name simulates a restart.
+          data_centre: data centre in which it runs.
+          plan: selects the instances that it probes, or None for the default.
+          seeds: addresses that it contacts in addition to the list.
         """
         self._starts += 1
         address = f"10.0.{self._starts // 250}.{self._starts % 250}:{_PORT}"
@@ -141,13 +141,13 @@
         return node
 
     async def start(self, instance_id: str, data_centre: str) -> FleetNode:
-        """Starts an instance and lists it."""
+        """Creates an instance, adds it to the list and starts it."""
         node = self.create(instance_id, data_centre)
         await node.stack.enter_async_context(node.membership.run())
         return node
 
     async def start_many(self, count: int, data_centre: str) -> list[FleetNode]:
-        """Starts instances one after the other and lets them meet."""
+        """Starts instances one by one, with time to exchange membership."""
         nodes = []
         for number in range(count):
             nodes.append(
@@ -157,13 +157,13 @@
         return nodes
 
     async def kill(self, node: FleetNode) -> None:
-        """Ends an instance without a word to the others."""
+        """Kills an instance; it does not announce that it leaves."""
         del self.nodes[node.instance_id]
         self.network.remove(node.address)
         await node.stack.aclose()
 
     async def close(self) -> None:
-        """Ends every instance."""
+        """Kills all instances."""
         for node in list(self.nodes.values()):
             await self.kill(node)
 
@@ -172,7 +172,7 @@
 async def open_fleet(
     seed: int = 1, loss: float = 0.0
 ) -> AsyncIterator[MemoryFleet]:
-    """Opens an empty fleet and ends its instances with the context.
+    """Yields an empty fleet whose instances are killed with the context.
 
     Args:
       seed: seed of everything random.
--- a/rhubarblock/standins/memorypeers_test.py
+++ b/rhubarblock/standins/memorypeers_test.py
@@ -9,7 +9,7 @@
 
 
 class Bench:
-    """Three instances; two of them share a data centre."""
+    """Three instances, two of them in the same data centre."""
 
     def __init__(self, loss=0.0):
         self.timers = timers_lib.LoopTimers(wall_offset_s=0.0)
@@ -41,80 +41,80 @@
         return answer, self.timers.read_monotonic() - started_s
 
 
-def run(scene, loss=0.0):
+def run(scenario, loss=0.0):
     async def main():
-        return await scene(Bench(loss))
+        return await scenario(Bench(loss))
 
     return virtualloop.run(main())
 
 
-def test_calls_take_the_delay_of_the_way():
-    async def scene(bench):
+def test_call_delay_depends_on_the_data_centres():
+    async def scenario(bench):
         near, near_s = await bench.call("a:2")
         far, far_s = await bench.call("b:1")
         return near, far, 0.01 <= near_s <= 0.03, 0.1 <= far_s <= 0.3
 
-    assert run(scene) == (b"xx", b"xx", True, True)
+    assert run(scenario) == (b"xx", b"xx", True, True)
 
 
 def test_lost_message_is_a_timeout():
-    async def scene(bench):
+    async def scenario(bench):
         return await bench.call("a:2")
 
-    assert run(scene, loss=1.0) == (None, 1.0)
+    assert run(scenario, loss=1.0) == (None, 1.0)
 
 
-def test_cut_loses_both_ways_until_it_heals():
-    async def scene(bench):
+def test_partition_loses_messages_until_it_heals():
+    async def scenario(bench):
         bench.network.cut(["a:1"], ["b:1"])
         cut = (await bench.call("b:1"))[0], (await bench.call("a:2"))[0]
         bench.network.heal()
         return cut, (await bench.call("b:1"))[0]
 
-    assert run(scene) == ((None, b"xx"), b"xx")
+    assert run(scenario) == ((None, b"xx"), b"xx")
 
 
 def test_dead_instance_does_not_answer():
-    async def scene(bench):
+    async def scenario(bench):
         bench.network.remove("a:2")
         return await bench.call("a:2")
 
-    assert run(scene) == (None, 1.0)
+    assert run(scenario) == (None, 1.0)
 
 
-def test_paused_instance_answers_when_it_goes_on():
-    async def scene(bench):
+def test_paused_instance_answers_when_it_resumes():
+    async def scenario(bench):
         bench.network.pause("a:2")
         bench.timers.call_later(0.5, lambda: bench.network.resume("a:2"))
         answer, taken_s = await bench.call("a:2")
         return answer, taken_s > 0.5
 
-    assert run(scene) == (b"xx", True)
+    assert run(scenario) == (b"xx", True)
 
 
-def test_paused_caller_sees_its_timeout_late():
-    async def scene(bench):
+def test_paused_caller_notices_its_timeout_when_it_resumes():
+    async def scenario(bench):
         bench.network.pause("a:2")
         bench.timers.call_later(0.5, lambda: bench.network.pause("a:1"))
         bench.timers.call_later(3.0, lambda: bench.network.resume("a:1"))
         return await bench.call("a:2")
 
-    assert run(scene) == (None, 3.0)
+    assert run(scenario) == (None, 3.0)
 
 
-def test_call_goes_on_after_its_caller_gave_up():
-    async def scene(bench):
+def test_handler_runs_even_if_its_caller_timed_out():
+    async def scenario(bench):
         bench.network.pause("a:2")
         await bench.call("a:2", timeout_s=0.1)
         bench.network.resume("a:2")
         await bench.timers.sleep(0.1)
         return bench.handled
 
-    assert run(scene) == [("i1", b"x")]
+    assert run(scenario) == [("i1", b"x")]
 
 
-def test_handler_that_is_missing_or_fails_is_a_peer_error():
-    async def scene(bench):
+def test_missing_or_failing_handler_is_a_peer_error():
+    async def scenario(bench):
         async def fail(sender, payload):
             raise ValueError("broken")
 
@@ -123,11 +123,11 @@
             with pytest.raises(peertransport.PeerError):
                 await bench.peers[0].call("a:2", kind, b"", 1.0)
 
-    run(scene)
+    run(scenario)
 
 
-def test_traffic_is_counted_on_both_sides():
-    async def scene(bench):
+def test_traffic_is_counted_for_both_instances():
+    async def scenario(bench):
         await bench.call("a:2", b"abc")
         sent = memorypeers.REQUEST_OVERHEAD_BYTES + 3
         received = memorypeers.ANSWER_OVERHEAD_BYTES + 6
@@ -138,11 +138,11 @@
             == memorypeers.Traffic(1, 1, received, sent),
         )
 
-    assert run(scene) == (True, True)
+    assert run(scenario) == (True, True)
 
 
-def test_pausable_timers_stand_still():
-    async def scene(bench):
+def test_pausable_timers_fire_only_when_resumed():
+    async def scenario(bench):
         timers = memorypeers.PausableTimers(bench.timers, bench.peers[0])
         called_s = []
         bench.network.pause("a:1")
@@ -153,4 +153,4 @@
         await timers.sleep(1.0)
         return woken_s, called_s, timers.read_monotonic()
 
-    assert run(scene) == (2.0, [2.0], 3.0)
+    assert run(scenario) == (2.0, [2.0], 3.0)
--- a/rhubarblock/standins/platform/__init__.py
+++ b/rhubarblock/standins/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-in of the platform's object API.
+"""Stand-in for the platform's object API.
 
-Others use ``store`` (in memory) or ``server`` (the same over HTTP). Read on in
-``state``, ``watch``, ``rates`` and ``faults``.
+Entry points are ``store`` (the API in memory) and ``server`` (the same over
+HTTP). ``state``, ``watch``, ``rates`` and ``faults`` implement them.
 """
--- a/rhubarblock/standins/platform/faults.py
+++ b/rhubarblock/standins/platform/faults.py
@@ -1,8 +1,8 @@
-"""Faults of the stand-in platform that a test can switch on and off.
+"""Faults of the stand-in platform that tests can switch on and off.
 
-They cover what the platform's owners say can happen: outages, slow answers,
-an answer lost after the write took effect, reads of an older state, watch
-events that are lost or out of order, and a client that is cut off.
+They cover the failures that the platform's owners say can occur: outages, slow
+answers, an answer lost after its write took effect, reads of an older state,
+watch events lost or out of order, and clients that are cut off.
 """
 
 from collections.abc import Callable
@@ -10,23 +10,26 @@
 
 
 class PlatformFaults:
-    """The switches; all of them are off at first.
+    """Switches of the faults; all are off by default.
 
     Attributes:
       slow_s: seconds added to each call.
-      lose_answers_next: number of next writes that take effect unanswered.
-      lose_answers_share: share of writes that take effect unanswered.
+      lose_answers_next: number of next writes that take effect but whose answer
+        is lost.
+      lose_answers_share: share of writes that take effect but whose answer is
+        lost.
       lose_before_next: number of next writes lost before they take effect.
       lose_before_share: share of writes lost before they take effect.
-      unsure_after_s: seconds until a client gives up on a lost answer.
-      stale_s: reads and listings serve the state of this many seconds ago.
+      unsure_after_s: seconds after which a client times out on a lost call or
+        answer.
+      stale_s: age in seconds of the state that reads and listings return.
       drop_events_share: share of watch events that are never delivered.
-      reorder_events_share: share of watch events delivered after the next.
-      list_frozen: whether the instance list stops following reality.
+      reorder_events_share: share of watch events delivered after the next one.
+      list_frozen: whether the instance list stops updating.
     """
 
     __slots__ = (
-        "_cut",
+        "_disconnected",
         "_listeners",
         "_outage",
         "drop_events_share",
@@ -53,60 +56,66 @@
         self.reorder_events_share = 0.0
         self.list_frozen = False
         self._outage = False
-        self._cut: set[str] = set()
+        self._disconnected: set[str] = set()
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def outage(self) -> bool:
-        """Whether every call is refused."""
+        """Whether every call is refused as unavailable."""
         return self._outage
 
     def start_outage(self) -> None:
-        """Refuses every call and closes all watches."""
+        """Refuses every call from now on and closes all watches."""
         self._outage = True
-        self._tell_listeners()
+        self._notify_listeners()
 
     def end_outage(self) -> None:
-        """Answers calls again."""
+        """Ends the outage; calls are answered again."""
         self._outage = False
 
     def cut_off(self, client_id: str) -> None:
-        """Loses every call of one client; its watches go silent."""
-        self._cut.add(client_id)
+        """Cuts a client off: its calls are lost, its watches get no events."""
+        self._disconnected.add(client_id)
 
     def join(self, client_id: str) -> None:
-        """Ends the cut of one client; its watches of before are closed."""
-        self._cut.discard(client_id)
-        self._tell_listeners()
+        """Reconnects a client; closes its watches that missed events."""
+        self._disconnected.discard(client_id)
+        self._notify_listeners()
 
     def is_cut_off(self, client_id: str) -> bool:
-        """Says whether calls of a client get lost."""
-        return client_id in self._cut
+        """Returns whether a client is cut off."""
+        return client_id in self._disconnected
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Calls back when watches may have to be closed."""
+        """Adds a callback for changes that may close watches."""
         self._listeners.append(listener)
 
     def remove_listener(self, listener: Callable[[], None]) -> None:
-        """Ends the callbacks to a listener."""
+        """Removes a callback."""
         self._listeners.remove(listener)
 
-    def take_lost_answer(self, rng: random.Random) -> bool:
-        """Decides whether the answer of a write that took effect is lost."""
+    def draw_lost_answer(self, rng: random.Random) -> bool:
+        """Returns whether the answer to a write that took effect is lost.
+
+        Counts down ``lose_answers_next``.
+        """
         if self.lose_answers_next > 0:
             self.lose_answers_next -= 1
             return True
         share = self.lose_answers_share
         return share > 0 and rng.random() < share
 
-    def take_lost_call(self, rng: random.Random) -> bool:
-        """Decides whether a write is lost before it takes effect."""
+    def draw_lost_call(self, rng: random.Random) -> bool:
+        """Returns whether a write is lost before it takes effect.
+
+        Counts down ``lose_before_next``.
+        """
         if self.lose_before_next > 0:
             self.lose_before_next -= 1
             return True
         share = self.lose_before_share
         return share > 0 and rng.random() < share
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in list(self._listeners):
             listener()
--- a/rhubarblock/standins/platform/server.py
+++ b/rhubarblock/standins/platform/server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP, for processes and tests over sockets.
+"""Serves the stand-in platform over HTTP.
 
 The protocol is described in docs/standins-platform.md.
 """
@@ -19,16 +19,17 @@
 from rhubarblock.store import storewire
 
 FAULTS_PATH = "/v1/faults"
-# Room for a value that is over the limit, so that the store refuses it.
+# Larger than the largest value, so that the store, not the HTTP server, refuses
+# a value over the limit.
 BODY_LIMIT = 2 * stores.VALUE_LIMIT
-# Most seconds that stopping waits for calls that are still open.
+# Maximum time that a shutdown waits for open calls.
 SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class PlatformServer:
-    """Handlers that pass HTTP calls on to a stand-in store."""
+    """HTTP handlers that call a stand-in store."""
 
-    __slots__ = ("_connections", "_list", "_store")
+    __slots__ = ("_connections", "_instance_list", "_store")
 
     def __init__(
         self,
@@ -38,21 +39,21 @@
         """Creates the handlers.
 
         Args:
-          store: what to serve.
-          instance_list: what to serve as the list of instances.
+          store: store to serve.
+          instance_list: instance list to serve.
         """
         self._store = store
-        self._list = instance_list
+        self._instance_list = instance_list
         self._connections: dict[str, platform.Connection] = {}
 
     def make_app(self) -> web.Application:
         """Returns the application with all routes."""
         app = web.Application(client_max_size=BODY_LIMIT)
-        one = storewire.OBJECTS_PATH + "/{name:.+}"
+        object_path = storewire.OBJECTS_PATH + "/{name:.+}"
         app.router.add_get(storewire.OBJECTS_PATH, self._list_objects)
-        app.router.add_get(one, self._read)
-        app.router.add_put(one, self._write)
-        app.router.add_delete(one, self._delete)
+        app.router.add_get(object_path, self._read)
+        app.router.add_put(object_path, self._write)
+        app.router.add_delete(object_path, self._delete)
         app.router.add_get(storewire.WATCH_PATH, self._watch)
         app.router.add_get(storewire.INSTANCES_PATH, self._list_instances)
         app.router.add_post(FAULTS_PATH, self._set_faults)
@@ -69,7 +70,7 @@
         try:
             stored = await self._connect(request).read(name)
         except stores.StoreError as error:
-            return _answer_error(request, error)
+            return _make_error_response(request, error)
         headers = {storewire.VERSION_HEADER: _encode_version(stored)}
         return web.Response(body=stored.value, headers=headers)
 
@@ -78,7 +79,7 @@
         try:
             page = await self._connect(request).list_objects(prefix)
         except stores.StoreError as error:
-            return _answer_error(request, error)
+            return _make_error_response(request, error)
         objects = [storewire.encode_object(o) for o in page.objects]
         version = storewire.encode_position(page.version)
         return web.json_response({"objects": objects, "version": version})
@@ -86,27 +87,27 @@
     async def _write(self, request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
         try:
-            expected = _read_expected(request)
+            expected = _read_expected_version(request)
         except (KeyError, ValueError):
             return web.Response(status=400, text="expected version missing")
         value = await request.read()
         try:
             stored = await self._connect(request).write(name, value, expected)
         except stores.StoreError as error:
-            return _answer_error(request, error)
+            return _make_error_response(request, error)
         headers = {storewire.VERSION_HEADER: _encode_version(stored)}
         return web.Response(headers=headers)
 
     async def _delete(self, request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
         try:
-            expected = _read_expected(request)
+            expected = _read_expected_version(request)
         except (KeyError, ValueError):
             return web.Response(status=400, text="expected version missing")
         try:
             await self._connect(request).delete(name, expected)
         except stores.StoreError as error:
-            return _answer_error(request, error)
+            return _make_error_response(request, error)
         return web.Response()
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
@@ -120,21 +121,22 @@
         events = self._connect(request).watch(prefix, after)
         try:
             async with contextlib.aclosing(events):
-                await self._pass_events(request, response, events)
+                await self._stream_events(request, response, events)
         except stores.StoreError as error:
             if not response.prepared:
-                return _answer_error(request, error)
-            _drop(request)
+                return _make_error_response(request, error)
+            _abort_connection(request)
         return response
 
-    async def _pass_events(
+    async def _stream_events(
         self,
         request: web.Request,
         response: web.StreamResponse,
         events: AsyncGenerator[stores.StoredObject, None],
     ) -> None:
-        # The answer begins with the first event or after a moment without
-        # one, so that an error at the start still has its own status.
+        # The response starts with the first event or after a short time
+        # without one, so that an error at the start of the watch still
+        # determines the HTTP status.
         first = asyncio.ensure_future(anext(events, None))
         try:
             await asyncio.wait([first], timeout=0.02)
@@ -152,8 +154,8 @@
         try:
             await self._connect(request).check_list_call()
         except stores.StoreError as error:
-            return _answer_error(request, error)
-        listed = self._list.list_instances()
+            return _make_error_response(request, error)
+        listed = self._instance_list.list_instances()
         lines = [instances.encode_instance(i) + b"\n" for i in listed]
         return web.Response(body=b"".join(lines))
 
@@ -178,7 +180,7 @@
             elif name.startswith("_"):
                 raise ValueError(f"no fault {name}")
             else:
-                # Slots make an unknown name an AttributeError.
+                # As the class has slots, an unknown name raises AttributeError.
                 setattr(faults, name, value)
 
 
@@ -186,24 +188,24 @@
     return str(storewire.encode_position(stored.version))
 
 
-def _read_expected(request: web.Request) -> positions.Position:
+def _read_expected_version(request: web.Request) -> positions.Position:
     number = int(request.headers[storewire.EXPECTED_HEADER])
     return storewire.decode_position(number)
 
 
-def _answer_error(
+def _make_error_response(
     request: web.Request, error: stores.StoreError
 ) -> web.Response:
     if error.kind is stores.StoreErrorKind.UNSURE:
-        # A lost answer is a connection that breaks without one.
-        _drop(request)
+        # Over HTTP, a lost answer is a connection that breaks.
+        _abort_connection(request)
         return web.Response(status=500)
     return web.Response(
         status=storewire.STATUS_BY_KIND[error.kind], text=str(error)
     )
 
 
-def _drop(request: web.Request) -> None:
+def _abort_connection(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.abort()
 
@@ -215,20 +217,20 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> AsyncIterator[str]:
-    """Serves the stand-in while the context is open.
+    """Serves the stand-in platform while the context is open.
 
     Args:
-      store: what to serve.
-      instance_list: what to serve as the list of instances.
+      store: store to serve.
+      instance_list: instance list to serve.
       host: address to listen on.
-      port: port to listen on; 0 takes a free one.
+      port: port to listen on; 0 selects a free one.
 
     Yields:
       The base URL, ``http://host:port``.
     """
     app = PlatformServer(store, instance_list).make_app()
-    # Handlers end with their connection, so that no watch of a client that
-    # went away keeps waiting.
+    # Handlers are cancelled when their connection closes, so that watches of
+    # disconnected clients end.
     runner = web.AppRunner(
         app, handler_cancellation=True, shutdown_timeout=SHUTDOWN_TIMEOUT_S
     )
