--- a/rhubarblock/standins/platform/server_test.py
+++ b/rhubarblock/standins/platform/server_test.py
@@ -1,4 +1,4 @@
-"""Tests of the object API over HTTP, against the stand-in's server."""
+"""Tests of the HTTP client of the object API against the stand-in's server."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -45,13 +45,13 @@
         yield store, httpstore.HttpStore(session, url, "one"), url
 
 
-async def fail(awaitable) -> stores.StoreErrorKind:
+async def catch_error_kind(awaitable) -> stores.StoreErrorKind:
     with pytest.raises(stores.StoreError) as caught:
         await awaitable
     return caught.value.kind
 
 
-def test_objects() -> None:
+def test_objects_are_written_read_listed_and_deleted() -> None:
     async def main() -> None:
         async with run_platform() as (_, client, _):
             written = await client.write(
@@ -62,22 +62,26 @@
             page = await client.list_objects("a/")
             assert page == stores.Page((written,), at(1))
             assert (
-                await fail(client.write("a/x y", b"", positions.NOWHERE))
+                await catch_error_kind(
+                    client.write("a/x y", b"", positions.NOWHERE)
+                )
                 is _Kind.CONFLICT
             )
             await client.delete("a/x y", at(1))
-            assert await fail(client.read("a/x y")) is _Kind.NOT_FOUND
+            assert (
+                await catch_error_kind(client.read("a/x y")) is _Kind.NOT_FOUND
+            )
 
     asyncio.run(main())
 
 
-def test_largest_values_pass_in_every_way() -> None:
+def test_values_up_to_the_size_limit_pass_through_every_call() -> None:
     async def main() -> None:
         async with run_platform() as (_, client, _):
             value = bytes(range(250)) * 4000
             await client.write("a/1", value, positions.NOWHERE)
             too_large = client.write("a/2", value + b"x", positions.NOWHERE)
-            assert await fail(too_large) is _Kind.TOO_LARGE
+            assert await catch_error_kind(too_large) is _Kind.TOO_LARGE
             assert (await client.read("a/1")).value == value
             page = await client.list_objects("a/")
             assert page.objects[0].value == value
@@ -88,14 +92,20 @@
     asyncio.run(main())
 
 
-def test_write_with_a_lost_answer_is_unsure_and_sent_once() -> None:
+def test_write_with_a_lost_answer_is_unsure_and_not_retried() -> None:
     async def main() -> None:
         async with run_platform() as (store, client, _):
             await client.write("a/1", b"x", positions.NOWHERE)
             store.faults.lose_answers_next = 1
-            assert await fail(client.write("a/1", b"y", at(1))) is _Kind.UNSURE
+            assert (
+                await catch_error_kind(client.write("a/1", b"y", at(1)))
+                is _Kind.UNSURE
+            )
             store.faults.lose_answers_next = 1
-            assert await fail(client.delete("a/1", at(2))) is _Kind.UNSURE
+            assert (
+                await catch_error_kind(client.delete("a/1", at(2)))
+                is _Kind.UNSURE
+            )
             assert store.counters["write"] == 2
             assert store.counters["delete"] == 1
             assert store.state.find("a/1") is None
@@ -103,36 +113,42 @@
     asyncio.run(main())
 
 
-def test_platform_not_there_is_unavailable() -> None:
+def test_unreachable_platform_is_unavailable() -> None:
     async def main() -> None:
         async with run_platform() as (_, client, _):
             await client.write("a/1", b"x", positions.NOWHERE)
         async with aiohttp.ClientSession() as session:
             client = httpstore.HttpStore(session, "http://127.0.0.1:9")
             assert (
-                await fail(client.write("a/1", b"", positions.NOWHERE))
+                await catch_error_kind(
+                    client.write("a/1", b"", positions.NOWHERE)
+                )
                 is _Kind.UNAVAILABLE
             )
-            assert await fail(client.read("a/1")) is _Kind.UNAVAILABLE
+            assert (
+                await catch_error_kind(client.read("a/1")) is _Kind.UNAVAILABLE
+            )
 
     asyncio.run(main())
 
 
-def test_outage_and_rates() -> None:
+def test_outage_and_rate_limit_have_their_error_kinds() -> None:
     async def main() -> None:
         async with run_platform(client_writes_per_s=1) as (store, client, _):
             await client.write("a/1", b"", positions.NOWHERE)
             over = client.write("a/2", b"", positions.NOWHERE)
-            assert await fail(over) is _Kind.RATE_LIMITED
+            assert await catch_error_kind(over) is _Kind.RATE_LIMITED
             store.faults.start_outage()
-            assert await fail(client.read("a/1")) is _Kind.UNAVAILABLE
+            assert (
+                await catch_error_kind(client.read("a/1")) is _Kind.UNAVAILABLE
+            )
             watching = anext(client.watch("a/", positions.NOWHERE))
-            assert await fail(watching) is _Kind.UNAVAILABLE
+            assert await catch_error_kind(watching) is _Kind.UNAVAILABLE
 
     asyncio.run(main())
 
 
-def test_watch() -> None:
+def test_watch_yields_events_and_reports_missing_ones() -> None:
     async def main() -> None:
         async with run_platform(events_limit=1) as (store, client, _):
             events = client.watch("a/", positions.NOWHERE)
@@ -148,12 +164,12 @@
             store.faults.end_outage()
             await client.write("a/2", b"x", positions.NOWHERE)
             late = anext(client.watch("a/", positions.NOWHERE))
-            assert await fail(late) is _Kind.NOT_FOUND
+            assert await catch_error_kind(late) is _Kind.NOT_FOUND
 
     asyncio.run(main())
 
 
-def test_watch_ends_with_its_client() -> None:
+def test_watch_of_a_disconnected_client_ends() -> None:
     async def main() -> None:
         async with run_platform(reads_per_s=1) as (store, client, url):
             async with aiohttp.ClientSession() as session:
@@ -165,7 +181,7 @@
                     await asyncio.sleep(0.001)
                 waiting.cancel()
             async with asyncio.timeout(5):
-                while await fail_or_none(client.read("a/1")) is not (
+                while await read_error_kind(client.read("a/1")) is not (
                     _Kind.NOT_FOUND
                 ):
                     await asyncio.sleep(0.05)
@@ -173,7 +189,7 @@
     asyncio.run(main())
 
 
-async def fail_or_none(awaitable) -> stores.StoreErrorKind | None:
+async def read_error_kind(awaitable) -> stores.StoreErrorKind | None:
     try:
         await awaitable
     except stores.StoreError as error:
@@ -181,25 +197,28 @@
     return None
 
 
-def test_instances_and_faults() -> None:
+def test_instances_are_served_and_faults_are_set_over_http() -> None:
     async def main() -> None:
         async with (
             run_platform() as (store, client, url),
             aiohttp.ClientSession() as session,
         ):
-            desk = instancelist_test.DESK
+            instance = instancelist_test.SERVICE_INSTANCE
             await client.write(
-                instances.name_object(desk.instance_id),
-                instances.encode_instance(desk),
+                instances.name_object(instance.instance_id),
+                instances.encode_instance(instance),
                 positions.NOWHERE,
             )
             source = instances.HttpInstanceSource(session, url, "one")
-            assert await source.fetch_instances() == [desk]
+            assert await source.fetch_instances() == [instance]
             faults_url = url + platformserver.FAULTS_PATH
             for fault, status in (({"outage": True}, 200), ({"x": 1}, 400)):
                 async with session.post(faults_url, json=fault) as response:
                     assert response.status == status
             assert store.faults.outage
-            assert await fail(source.fetch_instances()) is _Kind.UNAVAILABLE
+            assert (
+                await catch_error_kind(source.fetch_instances())
+                is _Kind.UNAVAILABLE
+            )
 
     asyncio.run(main())
--- a/rhubarblock/standins/platform/state.py
+++ b/rhubarblock/standins/platform/state.py
@@ -1,7 +1,6 @@
 """State of the stand-in platform: objects, versions and a window of events.
 
-All of it changes in one step without a wait, which is what makes a
-conditional write atomic in this stand-in.
+No method awaits anything, so conditional writes are atomic.
 """
 
 from collections.abc import Callable
@@ -16,9 +15,9 @@
     """One write or deletion.
 
     Attributes:
-      at_s: monotonic time of it.
-      before: state that it replaced, or None when the object is new.
-      after: state that it made.
+      at_s: monotonic time of the event.
+      before: previous state of the object, or None if the object is new.
+      after: new state of the object.
     """
 
     at_s: float
@@ -27,7 +26,7 @@
 
 
 class PlatformState:
-    """Objects by name with one version counter for all of them."""
+    """Objects by name, with one version counter shared by all objects."""
 
     __slots__ = (
         "_events",
@@ -42,7 +41,8 @@
         """Creates an empty state.
 
         Args:
-          events_limit: number of events kept for watches that start late.
+          events_limit: minimum number of events kept for watches that start
+            from an older version.
         """
         self._objects: dict[str, stores.StoredObject] = {}
         self._events: list[Event] = []
@@ -57,24 +57,24 @@
         return positions.Position(0, self._version)
 
     def add_listener(self, listener: Callable[[Event], None]) -> None:
-        """Calls back for each event, within the write."""
+        """Adds a callback for each event; it runs within the write."""
         self._listeners.append(listener)
 
     def remove_listener(self, listener: Callable[[Event], None]) -> None:
-        """Ends the callbacks to a listener."""
+        """Removes a callback."""
         self._listeners.remove(listener)
 
     def find(self, name: str) -> stores.StoredObject | None:
-        """Returns the present state of an object, or None."""
+        """Returns the current state of an object, or None."""
         return self._objects.get(name)
 
     def find_all(self, prefix: str) -> list[stores.StoredObject]:
-        """Returns the present objects with a prefix, by name."""
+        """Returns the current objects with a name prefix, sorted by name."""
         names = sorted(n for n in self._objects if n.startswith(prefix))
         return [self._objects[name] for name in names]
 
     def find_version(self, at_s: float) -> positions.Position:
-        """Returns the version that was the latest one at a time."""
+        """Returns the version that was the latest one at a monotonic time."""
         for event in reversed(self._events):
             if event.at_s <= at_s:
                 return event.after.version
@@ -92,7 +92,7 @@
     def find_all_at(
         self, prefix: str, version: positions.Position
     ) -> list[stores.StoredObject]:
-        """Returns the objects with a prefix as they were at a version."""
+        """Returns the objects with a name prefix as of a version, by name."""
         found = {o.name: o for o in self.find_all(prefix)}
         for event in reversed(self._events):
             name = event.after.name
@@ -106,10 +106,10 @@
     def find_events(
         self, prefix: str, after: positions.Position
     ) -> list[stores.StoredObject] | None:
-        """Returns the states written after a version.
+        """Returns the states of the events after a version.
 
         Returns:
-          The states, or None when the window no longer reaches back to it.
+          The states, or None if the window no longer holds all of them.
         """
         if after < self._window_start:
             return None
@@ -127,7 +127,7 @@
         expected_version: positions.Position,
         at_s: float,
     ) -> stores.StoredObject:
-        """Writes an object if its version is the expected one."""
+        """Writes an object if its current version is the expected one."""
         before = self._objects.get(name)
         present = before.version if before is not None else positions.NOWHERE
         if present != expected_version:
@@ -144,7 +144,7 @@
     def delete(
         self, name: str, expected_version: positions.Position, at_s: float
     ) -> None:
-        """Deletes an object if its version is the expected one."""
+        """Deletes an object if its current version is the expected one."""
         before = self._objects.get(name)
         if before is None:
             raise stores.StoreError(stores.StoreErrorKind.NOT_FOUND, name)
--- a/rhubarblock/standins/platform/store.py
+++ b/rhubarblock/standins/platform/store.py
@@ -1,7 +1,8 @@
 """Stand-in for the platform's object API, in memory.
 
-It keeps the platform's promises (versions, conditional writes, watches) and
-its limits (rates, sizes, latency), and breaks them only as its faults say.
+It has the guarantees of the platform (versions, conditional writes, watches)
+and its limits (rates, sizes, latency), and violates them only as the faults
+that are switched on demand.
 """
 
 import collections
@@ -24,16 +25,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """Limits of the stand-in.
+    """Limits and latency of the stand-in.
 
     Attributes:
-      writes_per_s: writes and deletions a second over all clients.
-      reads_per_s: reads, listings and watches a second over all clients.
-      client_writes_per_s: the same for each client; 0 means unlimited.
-      client_reads_per_s: the same for each client; 0 means unlimited.
-      watch_reads_per_s: reads a second that one waiting watch counts as.
-      latency_s: seconds from a call to its answer, on average.
-      events_limit: events kept for watches that start late.
+      writes_per_s: limit of writes and deletions per second of all clients.
+      reads_per_s: limit of reads, listings and watches per second of all
+        clients.
+      client_writes_per_s: ``writes_per_s`` of each client; 0 means unlimited.
+      client_reads_per_s: ``reads_per_s`` of each client; 0 means unlimited.
+      watch_reads_per_s: reads per second that an open watch counts as.
+      latency_s: mean seconds from a call to its answer.
+      events_limit: minimum number of events kept for watches that start from
+        an older version.
     """
 
     writes_per_s: float = 300.0
@@ -46,11 +49,11 @@
 
 
 class MemoryStore(stores.ObjectStore):
-    """The object API; used directly it is the client ``local``.
+    """The object API; direct calls come from the client ``local``.
 
     Attributes:
       faults: switches for faults.
-      state: what is stored; for tests and other stand-ins.
+      state: stored objects, for tests and other stand-ins.
       counters: calls by kind and outcome, e.g. ``write`` or ``write.conflict``.
     """
 
@@ -75,8 +78,8 @@
         """Creates an empty store.
 
         Args:
-          timers: clock and sleeps.
-          rng: decides latency and random faults.
+          timers: timer service.
+          rng: draws latencies and random faults.
           settings: limits, or None for the defaults.
         """
         self.timers = timers
@@ -94,24 +97,24 @@
         self._local = self.connect("local")
 
     def connect(self, client_id: str) -> "Connection":
-        """Returns the store as one client sees it.
+        """Returns a connection to the store for one client.
 
         Args:
-          client_id: name by which the client can be cut off and is counted.
+          client_id: name by which the client can be cut off.
         """
         return Connection(self, client_id)
 
     def take_write(self) -> bool:
-        """Counts a write against the limit of all clients."""
+        """Takes a write from the limit of all clients; returns if allowed."""
         return self._writes.take()
 
     def take_read(self) -> bool:
-        """Counts a read against the limit of all clients."""
+        """Takes a read from the limit of all clients; returns if allowed."""
         return self._reads.take()
 
-    def add_watch_drain(self, calls_per_s: float) -> None:
-        """Counts waiting watches against the limit of all clients."""
-        self._reads.add_drain(calls_per_s)
+    def reserve_watch_reads(self, calls_per_s: float) -> None:
+        """Changes the reads per second reserved for open watches."""
+        self._reads.reserve(calls_per_s)
 
     async def read(self, name: str) -> stores.StoredObject:
         return await self._local.read(name)
@@ -136,12 +139,12 @@
 
 
 class Connection(stores.ObjectStore):
-    """The store as one client sees it."""
+    """Connection of one client to the store."""
 
     __slots__ = ("_client_id", "_reads", "_store", "_writes")
 
     def __init__(self, store: MemoryStore, client_id: str):
-        """Connects a client; see ``MemoryStore.connect``."""
+        """Creates a connection; use ``MemoryStore.connect``."""
         settings = store.settings
         self._store = store
         self._client_id = client_id
@@ -154,23 +157,23 @@
 
     @property
     def client_id(self) -> str:
-        """Name by which the client is counted and can be cut off."""
+        """Name by which the client can be cut off."""
         return self._client_id
 
     def cut_off(self) -> None:
-        """Loses all calls of this client until ``join``."""
+        """Cuts this client off until ``join``."""
         self._store.faults.cut_off(self._client_id)
 
     def join(self) -> None:
-        """Carries the calls of this client again."""
+        """Reconnects this client."""
         self._store.faults.join(self._client_id)
 
     async def read(self, name: str) -> stores.StoredObject:
         await self._begin_read("read")
         found = self._find(name)
-        await self._wait_half()
+        await self._wait_one_way()
         if found is None:
-            raise self._fail("read", _Kind.NOT_FOUND, name)
+            raise self._make_error("read", _Kind.NOT_FOUND, name)
         self._count("read.bytes", len(found.value))
         return found
 
@@ -185,28 +188,28 @@
             found = state.find_all(prefix)
         page = stores.Page(tuple(found), version)
         self._count("read.bytes", sum(len(o.value) for o in found))
-        await self._wait_half()
+        await self._wait_one_way()
         return page
 
     async def check_list_call(self) -> None:
-        """Counts a call to the instance list, which the platform serves too."""
+        """Counts a call to the instance list like a read, with its limits."""
         await self._begin_read("instances")
-        await self._wait_half()
+        await self._wait_one_way()
 
     async def write(
         self, name: str, value: bytes, expected_version: positions.Position
     ) -> stores.StoredObject:
         await self._begin_write("write")
         if len(value) > stores.VALUE_LIMIT:
-            raise self._fail("write", _Kind.TOO_LARGE, name)
+            raise self._make_error("write", _Kind.TOO_LARGE, name)
         now_s = self._store.timers.read_monotonic()
         try:
             written = self._store.state.write(
                 name, value, expected_version, now_s
             )
         except stores.StoreError as error:
-            await self._wait_half()
-            raise self._fail("write", error.kind, str(error)) from error
+            await self._wait_one_way()
+            raise self._make_error("write", error.kind, str(error)) from error
         self._count("write.bytes", len(value))
         await self._answer_write("write")
         return written
@@ -219,8 +222,8 @@
         try:
             self._store.state.delete(name, expected_version, now_s)
         except stores.StoreError as error:
-            await self._wait_half()
-            raise self._fail("delete", error.kind, str(error)) from error
+            await self._wait_one_way()
+            raise self._make_error("delete", error.kind, str(error)) from error
         await self._answer_write("delete")
 
     async def watch(
@@ -231,8 +234,8 @@
         opened = platformwatch.Watch(
             store.state, store.faults, store.rng, self._client_id, prefix
         )
-        drain = store.settings.watch_reads_per_s
-        store.add_watch_drain(drain)
+        reserved_per_s = store.settings.watch_reads_per_s
+        store.reserve_watch_reads(reserved_per_s)
         try:
             latency_s = store.settings.latency_s / 2
             events = opened.read_events(after, store.timers, latency_s)
@@ -241,7 +244,7 @@
                     self._count("watch.event")
                     yield stored
         finally:
-            store.add_watch_drain(-drain)
+            store.reserve_watch_reads(-reserved_per_s)
 
     def _find(self, name: str) -> stores.StoredObject | None:
         state = self._store.state
@@ -257,42 +260,42 @@
 
     async def _begin_read(self, call: str) -> None:
         self._count(call)
-        await self._wait_half()
+        await self._wait_one_way()
         faults = self._store.faults
         if faults.is_cut_off(self._client_id):
             await self._store.timers.sleep(faults.unsure_after_s)
-            raise self._fail(call, _Kind.UNAVAILABLE, "cut off")
+            raise self._make_error(call, _Kind.UNAVAILABLE, "cut off")
         self._check_outage(call)
         if not (self._reads.take() and self._store.take_read()):
-            raise self._fail(call, _Kind.RATE_LIMITED)
+            raise self._make_error(call, _Kind.RATE_LIMITED)
 
     async def _begin_write(self, call: str) -> None:
         self._count(call)
-        await self._wait_half()
+        await self._wait_one_way()
         faults = self._store.faults
         cut_off = faults.is_cut_off(self._client_id)
-        if cut_off or faults.take_lost_call(self._store.rng):
+        if cut_off or faults.draw_lost_call(self._store.rng):
             await self._store.timers.sleep(faults.unsure_after_s)
-            raise self._fail(call, _Kind.UNSURE, "lost on the way")
+            raise self._make_error(call, _Kind.UNSURE, "lost on the way")
         self._check_outage(call)
         if not (self._writes.take() and self._store.take_write()):
-            raise self._fail(call, _Kind.RATE_LIMITED)
+            raise self._make_error(call, _Kind.RATE_LIMITED)
 
     async def _answer_write(self, call: str) -> None:
         faults = self._store.faults
-        await self._wait_half()
+        await self._wait_one_way()
         cut_off = faults.is_cut_off(self._client_id)
-        if cut_off or faults.take_lost_answer(self._store.rng):
+        if cut_off or faults.draw_lost_answer(self._store.rng):
             await self._store.timers.sleep(faults.unsure_after_s)
-            raise self._fail(call, _Kind.UNSURE, "answer lost")
+            raise self._make_error(call, _Kind.UNSURE, "answer lost")
 
     def _check_outage(self, call: str) -> None:
         if self._store.faults.outage:
-            raise self._fail(call, _Kind.UNAVAILABLE, "outage")
+            raise self._make_error(call, _Kind.UNAVAILABLE, "outage")
 
-    async def _wait_half(self) -> None:
-        # A call waits twice, on its way there and back, so that what it does
-        # in between can fall between the halves of another one.
+    async def _wait_one_way(self) -> None:
+        # Each call waits once for its request and once for its answer, so its
+        # effect can occur between the two waits of a concurrent call.
         spread = 0.5 + self._store.rng.random()
         half_s = self._store.settings.latency_s * spread / 2
         half_s += self._store.faults.slow_s / 2
@@ -301,7 +304,7 @@
     def _count(self, name: str, amount: int = 1) -> None:
         self._store.counters[name] += amount
 
-    def _fail(
+    def _make_error(
         self, call: str, kind: stores.StoreErrorKind, message: str = ""
     ) -> stores.StoreError:
         self._count(f"{call}.{kind.value}")
--- a/rhubarblock/standins/platform/store_test.py
+++ b/rhubarblock/standins/platform/store_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in object API: its promises, limits and faults."""
+"""Tests of the stand-in object API: its guarantees, limits and faults."""
 
 import asyncio
 import random
@@ -26,13 +26,15 @@
     )
 
 
-async def fail(awaitable) -> stores.StoreErrorKind:
+async def catch_error_kind(awaitable) -> stores.StoreErrorKind:
     with pytest.raises(stores.StoreError) as caught:
         await awaitable
     return caught.value.kind
 
 
-async def take(events, count: int) -> list[tuple[str, positions.Position]]:
+async def take_events(
+    events, count: int
+) -> list[tuple[str, positions.Position]]:
     taken = []
     async for stored in events:
         taken.append((stored.name, stored.version))
@@ -41,21 +43,26 @@
     return taken
 
 
-def test_conditional_writes() -> None:
+def test_writes_and_deletes_need_the_current_version() -> None:
     async def main() -> None:
         store = make_store()
         first = await store.write("a/1", b"x", positions.NOWHERE)
         assert first == stores.StoredObject("a/1", at(1), b"x")
         assert (
-            await fail(store.write("a/1", b"y", positions.NOWHERE))
+            await catch_error_kind(store.write("a/1", b"y", positions.NOWHERE))
             is _Kind.CONFLICT
         )
         second = await store.write("a/1", b"y", at(1))
         assert second.version == at(2)
-        assert await fail(store.delete("a/1", at(1))) is _Kind.CONFLICT
+        assert (
+            await catch_error_kind(store.delete("a/1", at(1))) is _Kind.CONFLICT
+        )
         await store.delete("a/1", at(2))
-        assert await fail(store.read("a/1")) is _Kind.NOT_FOUND
-        assert await fail(store.delete("a/1", at(2))) is _Kind.NOT_FOUND
+        assert await catch_error_kind(store.read("a/1")) is _Kind.NOT_FOUND
+        assert (
+            await catch_error_kind(store.delete("a/1", at(2)))
+            is _Kind.NOT_FOUND
+        )
         assert (
             await store.write("a/1", b"z", positions.NOWHERE)
         ).version == at(4)
@@ -63,7 +70,7 @@
     virtualloop.run(main())
 
 
-def test_one_of_two_writes_at_once_wins() -> None:
+def test_one_of_two_concurrent_writes_wins() -> None:
     async def main() -> None:
         store = make_store()
         outcomes = await asyncio.gather(
@@ -77,17 +84,17 @@
     virtualloop.run(main())
 
 
-def test_value_limit() -> None:
+def test_value_over_the_size_limit_is_refused() -> None:
     async def main() -> None:
         store = make_store()
         await store.write("a/1", bytes(1_000_000), positions.NOWHERE)
         too_large = store.write("a/2", bytes(1_000_001), positions.NOWHERE)
-        assert await fail(too_large) is _Kind.TOO_LARGE
+        assert await catch_error_kind(too_large) is _Kind.TOO_LARGE
 
     virtualloop.run(main())
 
 
-def test_listing_is_one_state() -> None:
+def test_listing_is_sorted_and_has_the_latest_version() -> None:
     async def main() -> None:
         store = make_store()
         await store.write("a/2", b"", positions.NOWHERE)
@@ -100,12 +107,14 @@
     virtualloop.run(main())
 
 
-def test_watch_has_no_gap_between_past_and_future() -> None:
+def test_watch_yields_past_and_new_events_without_a_gap() -> None:
     async def main() -> None:
         store = make_store()
         await store.write("a/1", b"", positions.NOWHERE)
         await store.write("a/2", b"", positions.NOWHERE)
-        watching = asyncio.ensure_future(take(store.watch("a/", at(1)), 3))
+        watching = asyncio.ensure_future(
+            take_events(store.watch("a/", at(1)), 3)
+        )
         await asyncio.sleep(1)
         await store.write("b/1", b"", positions.NOWHERE)
         await store.write("a/3", b"", positions.NOWHERE)
@@ -119,16 +128,18 @@
     virtualloop.run(main())
 
 
-def test_watch_before_the_window_needs_a_listing() -> None:
+def test_watch_from_before_the_event_window_is_refused() -> None:
     async def main() -> None:
         store = make_store(events_limit=2)
         for number in range(5):
             await store.write(f"a/{number}", b"", positions.NOWHERE)
         assert (
-            await fail(take(store.watch("a/", positions.NOWHERE), 1))
+            await catch_error_kind(
+                take_events(store.watch("a/", positions.NOWHERE), 1)
+            )
             is _Kind.NOT_FOUND
         )
-        assert await take(store.watch("a/", at(3)), 2) == [
+        assert await take_events(store.watch("a/", at(3)), 2) == [
             ("a/3", at(4)),
             ("a/4", at(5)),
         ]
@@ -136,7 +147,7 @@
     virtualloop.run(main())
 
 
-def test_rates_are_shared_by_all_clients() -> None:
+def test_rate_limits_are_shared_by_all_clients() -> None:
     async def main() -> None:
         store = make_store(writes_per_s=2, latency_s=0.0)
         one = store.connect("one")
@@ -144,7 +155,7 @@
         await one.write("a/1", b"", positions.NOWHERE)
         await two.write("a/2", b"", positions.NOWHERE)
         assert (
-            await fail(one.write("a/3", b"", positions.NOWHERE))
+            await catch_error_kind(one.write("a/3", b"", positions.NOWHERE))
             is _Kind.RATE_LIMITED
         )
         await asyncio.sleep(0.5)
@@ -154,29 +165,36 @@
     virtualloop.run(main())
 
 
-def test_client_rate_binds_one_client() -> None:
+def test_client_rate_limit_applies_to_each_client() -> None:
     async def main() -> None:
         store = make_store(client_reads_per_s=1, latency_s=0.0)
         one = store.connect("one")
         await one.list_objects("a/")
-        assert await fail(one.list_objects("a/")) is _Kind.RATE_LIMITED
+        assert (
+            await catch_error_kind(one.list_objects("a/")) is _Kind.RATE_LIMITED
+        )
         await store.connect("two").list_objects("a/")
 
     virtualloop.run(main())
 
 
-def test_waiting_watches_use_up_reads() -> None:
+def test_open_watches_consume_the_read_rate() -> None:
     async def main() -> None:
         store = make_store(reads_per_s=4, latency_s=0.0)
         watching = [
-            asyncio.ensure_future(take(store.watch("a/", positions.NOWHERE), 1))
+            asyncio.ensure_future(
+                take_events(store.watch("a/", positions.NOWHERE), 1)
+            )
             for _ in range(3)
         ]
         await asyncio.sleep(0)
         await store.list_objects("a/")
         await asyncio.sleep(1)
         await store.list_objects("a/")
-        assert await fail(store.list_objects("a/")) is _Kind.RATE_LIMITED
+        assert (
+            await catch_error_kind(store.list_objects("a/"))
+            is _Kind.RATE_LIMITED
+        )
         for task in watching:
             task.cancel()
         await asyncio.gather(*watching, return_exceptions=True)
@@ -187,17 +205,20 @@
     virtualloop.run(main())
 
 
-def test_lost_answers() -> None:
+def test_lost_answers_and_lost_writes_are_unsure() -> None:
     async def main() -> None:
         store = make_store()
         store.faults.lose_answers_next = 1
         assert (
-            await fail(store.write("a/1", b"x", positions.NOWHERE))
+            await catch_error_kind(store.write("a/1", b"x", positions.NOWHERE))
             is _Kind.UNSURE
         )
         assert (await store.read("a/1")).value == b"x"
         store.faults.lose_before_next = 1
-        assert await fail(store.write("a/1", b"y", at(1))) is _Kind.UNSURE
+        assert (
+            await catch_error_kind(store.write("a/1", b"y", at(1)))
+            is _Kind.UNSURE
+        )
         assert (await store.read("a/1")).value == b"x"
         await store.write("a/1", b"z", at(1))
 
@@ -208,14 +229,14 @@
     async def main() -> None:
         store = make_store()
         watching = asyncio.ensure_future(
-            take(store.watch("a/", positions.NOWHERE), 1)
+            take_events(store.watch("a/", positions.NOWHERE), 1)
         )
         await asyncio.sleep(1)
         store.faults.start_outage()
         assert await watching == []
-        assert await fail(store.read("a/1")) is _Kind.UNAVAILABLE
+        assert await catch_error_kind(store.read("a/1")) is _Kind.UNAVAILABLE
         assert (
-            await fail(store.write("a/1", b"", positions.NOWHERE))
+            await catch_error_kind(store.write("a/1", b"", positions.NOWHERE))
             is _Kind.UNAVAILABLE
         )
         store.faults.end_outage()
@@ -224,18 +245,19 @@
     virtualloop.run(main())
 
 
-def test_cut_off_client() -> None:
+def test_client_that_is_cut_off_cannot_call_until_it_rejoins() -> None:
     async def main() -> None:
         store = make_store()
         one = store.connect("one")
         watching = asyncio.ensure_future(
-            take(one.watch("a/", positions.NOWHERE), 1)
+            take_events(one.watch("a/", positions.NOWHERE), 1)
         )
         await asyncio.sleep(1)
         one.cut_off()
-        assert await fail(one.read("a/1")) is _Kind.UNAVAILABLE
+        assert await catch_error_kind(one.read("a/1")) is _Kind.UNAVAILABLE
         assert (
-            await fail(one.write("a/1", b"", positions.NOWHERE)) is _Kind.UNSURE
+            await catch_error_kind(one.write("a/1", b"", positions.NOWHERE))
+            is _Kind.UNSURE
         )
         await store.connect("two").write("a/1", b"", positions.NOWHERE)
         assert not watching.done()
@@ -246,12 +268,12 @@
     virtualloop.run(main())
 
 
-def test_answer_is_lost_by_a_cut_in_the_middle_of_a_write() -> None:
+def test_cutting_a_client_off_during_a_write_loses_the_answer() -> None:
     async def main() -> None:
         store = make_store(latency_s=1.0)
         one = store.connect("one")
         writing = asyncio.ensure_future(
-            fail(one.write("a/1", b"x", positions.NOWHERE))
+            catch_error_kind(one.write("a/1", b"x", positions.NOWHERE))
         )
         while store.state.version == positions.NOWHERE:
             await asyncio.sleep(0.01)
@@ -262,7 +284,7 @@
     virtualloop.run(main())
 
 
-def test_stale_reads() -> None:
+def test_stale_reads_return_an_older_state() -> None:
     async def main() -> None:
         store = make_store()
         await store.write("a/1", b"old", positions.NOWHERE)
@@ -275,18 +297,21 @@
         assert page == stores.Page(
             (stores.StoredObject("a/1", at(1), b"old"),), at(1)
         )
-        assert await fail(store.write("a/1", b"x", at(1))) is _Kind.CONFLICT
+        assert (
+            await catch_error_kind(store.write("a/1", b"x", at(1)))
+            is _Kind.CONFLICT
+        )
         await asyncio.sleep(5)
         assert (await store.read("a/1")).value == b"new"
 
     virtualloop.run(main())
 
 
-def test_lost_and_reordered_events() -> None:
+def test_watch_events_can_be_lost_and_reordered() -> None:
     async def main() -> None:
         store = make_store()
         watching = asyncio.ensure_future(
-            take(store.watch("a/", positions.NOWHERE), 2)
+            take_events(store.watch("a/", positions.NOWHERE), 2)
         )
         await asyncio.sleep(1)
         store.faults.drop_events_share = 1.0
@@ -300,7 +325,7 @@
     virtualloop.run(main())
 
 
-def test_slow_calls() -> None:
+def test_slow_fault_adds_its_time_to_a_call() -> None:
     async def main() -> float:
         store = make_store()
         store.faults.slow_s = 7.0
--- a/rhubarblock/standins/platform/watch.py
+++ b/rhubarblock/standins/platform/watch.py
@@ -1,4 +1,4 @@
-"""One open watch of the stand-in platform."""
+"""A watch of the stand-in platform."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -10,22 +10,23 @@
 from rhubarblock.standins.platform import state as platformstate
 from rhubarblock.store import store as stores
 
-# A watch that lags by more events than this is told to list anew.
+# A watch with more unread events than this fails; its client then has to list
+# the objects again.
 BUFFER_LIMIT = 1000
 
 
 class Watch:
-    """Queues the events of a prefix for one reader."""
+    """Queue of the events with a name prefix for one reader."""
 
     __slots__ = (
         "_client_id",
+        "_delayed",
         "_faults",
-        "_held",
         "_prefix",
         "_queue",
         "_rng",
-        "_silent",
         "_state",
+        "_was_cut_off",
     )
 
     def __init__(
@@ -36,12 +37,12 @@
         client_id: str,
         prefix: str,
     ):
-        """Creates a watch that hears nothing until it is opened.
+        """Creates a watch; it gets events only while ``read_events`` runs.
 
         Args:
-          state: state to follow.
-          faults: switches that may lose, reorder or silence events.
-          rng: decides which events are lost or reordered.
+          state: state to watch.
+          faults: faults that may lose or reorder events or close the watch.
+          rng: draws which events are lost or reordered.
           client_id: client that watches.
           prefix: prefix of the names to watch.
         """
@@ -51,8 +52,8 @@
         self._client_id = client_id
         self._prefix = prefix
         self._queue: asyncio.Queue[stores.StoredObject | None] = asyncio.Queue()
-        self._held: stores.StoredObject | None = None
-        self._silent = False
+        self._delayed: stores.StoredObject | None = None
+        self._was_cut_off = False
 
     async def read_events(
         self,
@@ -60,7 +61,11 @@
         timers: timer_service.Timers,
         latency_s: float,
     ) -> AsyncGenerator[stores.StoredObject, None]:
-        """Yields the states after a version until the platform closes it."""
+        """Yields object states newer than a version, until the watch is closed.
+
+        Raises:
+          StoreError: NOT_FOUND if events are missing or the reader lags.
+        """
         missed = self._state.find_events(self._prefix, after)
         if missed is None:
             raise stores.StoreError(
@@ -69,7 +74,7 @@
             )
         for past in missed:
             self._queue.put_nowait(past)
-        self._state.add_listener(self._hear)
+        self._state.add_listener(self._handle_event)
         self._faults.add_listener(self._close)
         try:
             while True:
@@ -80,7 +85,7 @@
                 yield stored
                 self._check_lag()
         finally:
-            self._state.remove_listener(self._hear)
+            self._state.remove_listener(self._handle_event)
             self._faults.remove_listener(self._close)
 
     def _check_lag(self) -> None:
@@ -90,25 +95,27 @@
                 "the watch lags too far behind, list anew",
             )
 
-    def _hear(self, event: platformstate.Event) -> None:
+    def _handle_event(self, event: platformstate.Event) -> None:
         if not event.after.name.startswith(self._prefix):
             return
         if self._faults.is_cut_off(self._client_id):
-            self._silent = True
+            self._was_cut_off = True
             return
-        if self._roll(self._faults.drop_events_share):
+        if self._draw(self._faults.drop_events_share):
             return
-        if self._held is None and self._roll(self._faults.reorder_events_share):
-            self._held = event.after
+        if self._delayed is None and self._draw(
+            self._faults.reorder_events_share
+        ):
+            self._delayed = event.after
             return
         self._queue.put_nowait(event.after)
-        if self._held is not None:
-            self._queue.put_nowait(self._held)
-            self._held = None
+        if self._delayed is not None:
+            self._queue.put_nowait(self._delayed)
+            self._delayed = None
 
-    def _roll(self, share: float) -> bool:
+    def _draw(self, share: float) -> bool:
         return share > 0 and self._rng.random() < share
 
     def _close(self) -> None:
-        if self._faults.outage or self._silent:
+        if self._faults.outage or self._was_cut_off:
             self._queue.put_nowait(None)
--- a/rhubarblock/standins/service.py
+++ b/rhubarblock/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service whose calls may not be repeated.
+"""Stand-in for a plain service whose calls are not idempotent.
 
-It records every run, so that a test can count them, and fails in the ways
-that a test switches on.
+It records every run of a call, so that tests can count them, and has faults
+that tests can switch on.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 from rhubarblock.fleet import serviceclient
 from rhubarblock.kernel import timers as timer_service
 
-# Longest that a crossed answer waits for another one to swap with, in seconds.
+# Maximum time that an answer waits for another one to be swapped with.
 CROSS_WAIT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Run:
-    """One run of a call.
+    """One execution of a call.
 
     Attributes:
-      at_s: monotonic time of it.
-      endpoint_id: endpoint that ran it.
-      attempt_id: attempt that brought it.
+      at_s: monotonic time of the run.
+      endpoint_id: endpoint that ran the call.
+      attempt_id: attempt that the call belongs to.
       institution: owner of the credentials.
       key: idempotency key of the caller, or None.
       method: HTTP method.
       path: path and query.
-      digest: hex digest of the body.
+      digest: hexadecimal SHA-256 digest of the body.
     """
 
     at_s: float
@@ -48,7 +48,11 @@
 
 
 class RunLog:
-    """The runs of all endpoints of one service, as its owner would see them."""
+    """Runs of all endpoints of one service, as its owner sees them.
+
+    Attributes:
+      runs: runs in order of time.
+    """
 
     __slots__ = ("runs",)
 
@@ -56,14 +60,14 @@
         self.runs: list[Run] = []
 
     def count_runs(self, institution: str, key: str) -> int:
-        """Returns how often the calls with one idempotency key ran."""
+        """Returns how often calls with an idempotency key ran."""
         return sum(
             run.institution == institution and run.key == key
             for run in self.runs
         )
 
     def find_double_runs(self) -> list[tuple[str, str]]:
-        """Returns institution and key of what ran more than once."""
+        """Returns institution and key of calls that ran more than once."""
         counts = collections.Counter(
             (run.institution, run.key)
             for run in self.runs
@@ -82,21 +86,24 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceFaults:
-    """Switches of one endpoint; all of them are off at first.
+    """Faults of one endpoint; all are off by default.
 
     Attributes:
       dead: no connection is accepted.
       draining: calls are refused with the verdict NOT_RUN.
       refuse_next: number of next calls refused with the verdict NOT_RUN.
-      refuse_untold_next: number of next calls refused with a 503 that says
-        nothing of whether they ran.
-      cut_before_run_next: number of next calls cut before they run.
-      cut_after_run_next: number of next calls cut after they ran.
-      die_after_run_next: as above, and the endpoint is dead after it.
-      cross_next: number of next answers to be swapped in pairs.
+      refuse_untold_next: number of next calls refused with status 503 and no
+        verdict.
+      cut_before_run_next: number of next calls whose connection breaks before
+        they run.
+      cut_after_run_next: number of next calls whose connection breaks after
+        they ran.
+      die_after_run_next: number of next calls after whose run the connection
+        breaks and the endpoint is dead.
+      cross_next: number of next answers to swap in pairs.
       slow_s: seconds added to each run.
       late_s: seconds between the run and its answer.
-      crash_marker: a body that contains it kills the endpoint.
+      crash_marker: marker in a body that kills the endpoint.
     """
 
     dead: bool = False
@@ -114,11 +121,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceReply:
-    """What comes back over the connection.
+    """Reply to a call over its connection.
 
     Attributes:
-      attempt_id: attempt that the service says it answers.
-      verdict: RAN, NOT_RUN as the service says, or None when it says nothing.
+      attempt_id: attempt that the reply claims to belong to.
+      verdict: RAN or NOT_RUN as stated by the service, or None if it does not
+        state one.
       answer: status and body.
     """
 
@@ -131,13 +139,13 @@
     """One endpoint of a plain service.
 
     Attributes:
-      faults: switches for faults.
+      faults: faults of the endpoint.
       log: runs, shared by all endpoints of the service.
     """
 
     __slots__ = (
-        "_crossing",
         "_endpoint_id",
+        "_pending_swap",
         "_resumed",
         "_run_s",
         "_timers",
@@ -156,8 +164,8 @@
 
         Args:
           endpoint_id: unique name.
-          timers: clock and sleeps.
-          log: runs of the service, or None for a log of its own.
+          timers: timer service.
+          log: log shared with other endpoints, or None for a separate one.
           run_s: seconds that a run takes.
         """
         self.faults = ServiceFaults()
@@ -167,7 +175,7 @@
         self._run_s = run_s
         self._resumed = asyncio.Event()
         self._resumed.set()
-        self._crossing: (
+        self._pending_swap: (
             tuple[ServiceReply, asyncio.Future[ServiceReply]] | None
         ) = None
 
@@ -176,23 +184,26 @@
         self._resumed.clear()
 
     def resume(self) -> None:
-        """Goes on with all work."""
+        """Continues all work."""
         self._resumed.set()
 
     async def handle(
         self, call: requests.ServiceCall, attempt_id: str
     ) -> ServiceReply:
-        """Runs a call, unless a fault is switched on.
+        """Runs a call, subject to the faults that are on.
 
         Args:
-          call: what arrived.
+          call: the call.
           attempt_id: attempt that it belongs to.
 
+        Returns:
+          The reply; with a fault it may belong to another attempt.
+
         Raises:
           CutError: the connection breaks; ``log`` shows whether the call ran.
         """
         await self._resumed.wait()
-        refused = self._refuse(attempt_id)
+        refused = self._take_refusal(attempt_id)
         if refused is not None:
             return refused
         self._cut_before_run(call)
@@ -202,9 +213,9 @@
         self._cut_after_run()
         await self._timers.sleep(self.faults.late_s)
         await self._resumed.wait()
-        return await self._cross(reply)
+        return await self._swap_reply(reply)
 
-    def _refuse(self, attempt_id: str) -> ServiceReply | None:
+    def _take_refusal(self, attempt_id: str) -> ServiceReply | None:
         if self.faults.draining or self.faults.refuse_next > 0:
             self.faults.refuse_next = max(0, self.faults.refuse_next - 1)
             answer = requests.ServiceAnswer(503, b'{"verdict": "NOT_RUN"}')
@@ -252,30 +263,30 @@
             self.faults.cut_after_run_next -= 1
             raise CutError
 
-    async def _cross(self, reply: ServiceReply) -> ServiceReply:
+    async def _swap_reply(self, reply: ServiceReply) -> ServiceReply:
         if self.faults.cross_next <= 0:
             return reply
         self.faults.cross_next -= 1
-        if self._crossing is not None:
-            other_reply, waiting = self._crossing
-            self._crossing = None
+        if self._pending_swap is not None:
+            other_reply, waiting = self._pending_swap
+            self._pending_swap = None
             waiting.set_result(reply)
             return other_reply
         swapped: asyncio.Future[ServiceReply] = asyncio.Future()
-        self._crossing = (reply, swapped)
+        self._pending_swap = (reply, swapped)
         try:
             async with asyncio.timeout(CROSS_WAIT_S):
                 return await swapped
         except TimeoutError:
-            self._crossing = None
+            self._pending_swap = None
             return reply
 
 
 class MemoryServiceClient(serviceclient.ServiceClient):
-    """Calls endpoints without sockets.
+    """Client that calls endpoints without sockets.
 
     Attributes:
-      counters: calls by outcome.
+      counters: number of ``calls`` and of ``crossed`` answers.
     """
 
     __slots__ = ("_latency_s", "_rng", "_services", "_timers", "counters")
@@ -290,10 +301,11 @@
         """Creates a client.
 
         Args:
-          services: endpoints by address; others refuse the connection.
-          timers: clock and sleeps.
-          rng: decides latency.
-          latency_s: seconds there and back, on average.
+          services: endpoints by address; any other address refuses the
+            connection.
+          timers: timer service.
+          rng: draws latencies.
+          latency_s: mean round-trip latency in seconds.
         """
         self._services = services
         self._timers = timers
@@ -305,8 +317,8 @@
         self, address: str, call: requests.ServiceCall, attempt_id: str
     ) -> requests.ServiceAnswer:
         self.counters["calls"] += 1
-        left_s = call.deadline_s - self._timers.read_monotonic()
-        if left_s <= 0:
+        remaining_s = call.deadline_s - self._timers.read_monotonic()
+        if remaining_s <= 0:
             raise _make_error(
                 failures.FailureCode.DEADLINE_EXCEEDED,
                 "the deadline passed before the call was sent",
@@ -319,24 +331,24 @@
                 "connection refused",
                 verdicts.Verdict.NOT_RUN,
             )
-        return await self._exchange(service, call, attempt_id, left_s)
+        return await self._exchange(service, call, attempt_id, remaining_s)
 
     async def _exchange(
         self,
         service: PlainService,
         call: requests.ServiceCall,
         attempt_id: str,
-        left_s: float,
+        remaining_s: float,
     ) -> requests.ServiceAnswer:
-        # A paused or late endpoint goes on with the call after the client
-        # has given up, as a process behind a socket would.
-        work = asyncio.ensure_future(service.handle(call, attempt_id))
-        work.add_done_callback(_ignore_outcome)
+        # A paused or late endpoint continues with the call after the client has
+        # timed out, as a separate process would.
+        handling = asyncio.ensure_future(service.handle(call, attempt_id))
+        handling.add_done_callback(_retrieve_exception)
         try:
-            async with asyncio.timeout(left_s):
-                await self._wait_half()
-                reply = await asyncio.shield(work)
-                await self._wait_half()
+            async with asyncio.timeout(remaining_s):
+                await self._wait_one_way()
+                reply = await asyncio.shield(handling)
+                await self._wait_one_way()
         except TimeoutError as error:
             raise _make_error(
                 failures.FailureCode.DEADLINE_EXCEEDED,
@@ -369,7 +381,7 @@
             )
         return reply.answer
 
-    async def _wait_half(self) -> None:
+    async def _wait_one_way(self) -> None:
         spread = 0.5 + self._rng.random()
         await self._timers.sleep(self._latency_s * spread / 2)
 
@@ -380,6 +392,6 @@
     return failures.FailureError(failures.Failure(code, message, verdict))
 
 
-def _ignore_outcome(work: "asyncio.Future[ServiceReply]") -> None:
-    if not work.cancelled():
-        work.exception()
+def _retrieve_exception(handling: "asyncio.Future[ServiceReply]") -> None:
+    if not handling.cancelled():
+        handling.exception()
--- a/rhubarblock/standins/service_test.py
+++ b/rhubarblock/standins/service_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in service and of its client in memory."""
+"""Tests of the stand-in service and of its client without sockets."""
 
 import asyncio
 import random
@@ -32,31 +32,33 @@
     return requests.ServiceCall(**{**values, **fields})
 
 
-def make_pair() -> tuple[service.PlainService, service.MemoryServiceClient]:
+def make_endpoint_and_client() -> tuple[
+    service.PlainService, service.MemoryServiceClient
+]:
     timers = timer_service.LoopTimers(0.0)
-    desk = service.PlainService("desk-1", timers)
+    endpoint = service.PlainService("desk-1", timers)
     client = service.MemoryServiceClient(
-        {"desk:1": desk}, timers, random.Random(1)
+        {"desk:1": endpoint}, timers, random.Random(1)
     )
-    return desk, client
+    return endpoint, client
 
 
-async def fail(awaitable) -> _Verdict:
+async def catch_verdict(awaitable) -> _Verdict:
     with pytest.raises(failures.FailureError) as caught:
         await awaitable
     return caught.value.failure.verdict
 
 
-def test_runs_are_recorded() -> None:
+def test_runs_are_recorded_by_idempotency_key() -> None:
     async def main() -> None:
-        desk, client = make_pair()
+        endpoint, client = make_endpoint_and_client()
         answer = await client.send("desk:1", make_call(), "r1/1")
         assert answer.status == 200
-        assert desk.log.count_runs("adwoa", "k1") == 1
-        assert desk.log.find_double_runs() == []
+        assert endpoint.log.count_runs("adwoa", "k1") == 1
+        assert endpoint.log.find_double_runs() == []
         await client.send("desk:1", make_call(), "r1/2")
-        assert desk.log.find_double_runs() == [("adwoa", "k1")]
-        assert [run.attempt_id for run in desk.log.runs] == ["r1/1", "r1/2"]
+        assert endpoint.log.find_double_runs() == [("adwoa", "k1")]
+        assert [run.attempt_id for run in endpoint.log.runs] == ["r1/1", "r1/2"]
 
     virtualloop.run(main())
 
@@ -75,41 +77,41 @@
         ({"slow_s": 99.0}, _Verdict.MAY_HAVE_RUN, 0),
     ],
 )
-def test_verdict_of_each_fault(fault, verdict, runs) -> None:
+def test_each_fault_has_its_verdict(fault, verdict, runs) -> None:
     async def main() -> None:
-        desk, client = make_pair()
+        endpoint, client = make_endpoint_and_client()
         for name, value in fault.items():
-            setattr(desk.faults, name, value)
+            setattr(endpoint.faults, name, value)
         sending = client.send("desk:1", make_call(), "r1/1")
-        assert await fail(sending) is verdict
-        assert len(desk.log.runs) == runs
+        assert await catch_verdict(sending) is verdict
+        assert len(endpoint.log.runs) == runs
 
     virtualloop.run(main())
 
 
-def test_paused_endpoint_runs_the_call_after_the_client_gave_up() -> None:
+def test_paused_endpoint_runs_the_call_after_the_client_timed_out() -> None:
     async def main() -> None:
-        desk, client = make_pair()
-        desk.pause()
+        endpoint, client = make_endpoint_and_client()
+        endpoint.pause()
         sending = client.send("desk:1", make_call(), "r1/1")
-        assert await fail(sending) is _Verdict.MAY_HAVE_RUN
-        assert desk.log.runs == []
-        desk.resume()
+        assert await catch_verdict(sending) is _Verdict.MAY_HAVE_RUN
+        assert endpoint.log.runs == []
+        endpoint.resume()
         await asyncio.sleep(1)
-        assert len(desk.log.runs) == 1
+        assert len(endpoint.log.runs) == 1
 
     virtualloop.run(main())
 
 
 def test_crossed_answers_are_dropped_and_counted() -> None:
     async def main() -> None:
-        desk, client = make_pair()
-        desk.faults.cross_next = 2
-        verdict_of_both = await asyncio.gather(
-            fail(client.send("desk:1", make_call(key="k1"), "r1/1")),
-            fail(client.send("desk:1", make_call(key="k2"), "r2/1")),
+        endpoint, client = make_endpoint_and_client()
+        endpoint.faults.cross_next = 2
+        verdicts_of_both = await asyncio.gather(
+            catch_verdict(client.send("desk:1", make_call(key="k1"), "r1/1")),
+            catch_verdict(client.send("desk:1", make_call(key="k2"), "r2/1")),
         )
-        assert verdict_of_both == [_Verdict.MAY_HAVE_RUN] * 2
+        assert verdicts_of_both == [_Verdict.MAY_HAVE_RUN] * 2
         assert client.counters["crossed"] == 2
 
     virtualloop.run(main())
@@ -117,11 +119,11 @@
 
 def test_nothing_is_sent_after_the_deadline() -> None:
     async def main() -> None:
-        desk, client = make_pair()
+        endpoint, client = make_endpoint_and_client()
         late = make_call(deadline_s=0.0)
         sending = client.send("desk:1", late, "r1/1")
-        assert await fail(sending) is _Verdict.NOT_RUN
+        assert await catch_verdict(sending) is _Verdict.NOT_RUN
         await asyncio.sleep(1)
-        assert desk.log.runs == []
+        assert endpoint.log.runs == []
 
     virtualloop.run(main())
--- a/rhubarblock/standins/serviceserver.py
+++ b/rhubarblock/standins/serviceserver.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service over HTTP.
+"""Serves the stand-in plain service over HTTP.
 
 The protocol is described in docs/standins-platform.md.
 """
@@ -16,12 +16,12 @@
 
 FAULTS_PATH = "/_faults"
 BODY_LIMIT = 16_000_000
-# Most seconds that stopping waits for calls that are still open.
+# Maximum time that a shutdown waits for open calls.
 SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class ServiceServer:
-    """Handlers that pass HTTP calls on to a stand-in service."""
+    """HTTP handlers of one endpoint of the stand-in service."""
 
     __slots__ = ("_service",)
 
@@ -40,11 +40,11 @@
         attempt_id = request.headers.get(httpservice.ATTEMPT_HEADER, "")
         call = await _read_call(request)
         if self._service.faults.dead:
-            return _drop(request)
+            return _abort_connection(request)
         try:
             reply = await self._service.handle(call, attempt_id)
         except service.CutError:
-            return _drop(request)
+            return _abort_connection(request)
         return web.Response(
             status=reply.answer.status,
             body=reply.answer.body,
@@ -95,7 +95,7 @@
     )
 
 
-def _drop(request: web.Request) -> web.Response:
+def _abort_connection(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
@@ -107,12 +107,12 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> AsyncIterator[str]:
-    """Serves one endpoint while the context is open.
+    """Serves one endpoint over HTTP while the context is open.
 
     Args:
-      plain_service: what to serve.
+      plain_service: endpoint to serve.
       host: address to listen on.
-      port: port to listen on; 0 takes a free one.
+      port: port to listen on; 0 selects a free one.
 
     Yields:
       The address, ``host:port``.
