--- a/rhubarblock/exchange/__init__.py
+++ b/rhubarblock/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""Serving of opaque exchanges: routes, keys, attempts, placement."""
+"""Proxies opaque HTTP exchanges: routes, keys, attempts, placement."""
--- a/rhubarblock/exchange/attempts.py
+++ b/rhubarblock/exchange/attempts.py
@@ -1,4 +1,4 @@
-"""Runs one attempt of an exchange and passes its answer on."""
+"""Runs one attempt of an exchange and forwards its answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,39 +10,38 @@
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.exchange import flow as flows
 from rhubarblock.exchange import leases
+from rhubarblock.exchange import placements
 from rhubarblock.exchange import placer as placers
-from rhubarblock.exchange import places
-from rhubarblock.exchange import silence
 from rhubarblock.exchange import sink as sinks
+from rhubarblock.exchange import stalls
 from rhubarblock.exchange import statements
 from rhubarblock.exchange import transport as transports
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
 
-# A first byte may take this many times its predicted time, and besides a part
-# of the objective, before another endpoint is tried.
-START_RATIO = 3.0
-START_OBJECTIVES = 1.5
-# Pauses of a stream: so many times the pause that is on time, and never less
-# than the seconds, before another endpoint goes on with it.
+# Limit of the time to first byte: this multiple of the predicted time plus this
+# multiple of the route's objective. Then another endpoint is tried.
+FIRST_BYTE_RATIO = 3.0
+FIRST_BYTE_OBJECTIVES = 1.5
+# Limit of a pause within a stream: this multiple of the route's objective for
+# pauses, and at least these seconds. Then another endpoint resumes the stream.
 PAUSE_RATIO = 4.0
-PAUSE_LEAST_S = 0.8
-# Longest body of an answer, in bytes, that is held back until it is whole.
-HELD_BYTES = 1 << 18
-# Statuses that promise that a request has not run.
-_PROMISES = frozenset({408, 421, 429, 503})
+MIN_PAUSE_S = 0.8
+# Longest answer body in bytes that is buffered until it is complete.
+MAX_BUFFERED_BYTES = 1 << 18
+# Statuses that tell a caller that the request has not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
-_Reason = silence.Reason
+_Reason = stalls.Reason
 
 
 class RefusedError(failures.FailureError):
-    """An endpoint says that it did not run the exchange.
+    """The endpoint states that it did not run the exchange.
 
     Attributes:
-      at_fault: address of the endpoint that made it refuse, or empty.
+      at_fault: address of the endpoint that caused the refusal, or empty.
       misdirected: whether another endpoint has its address now.
-      rest_s: seconds for which the endpoint wants nothing; None if it named
-        none.
+      cooldown_s: cool-down in seconds; None if the endpoint stated none.
     """
 
     def __init__(self, status: int, fields: dialects.AnswerFields):
@@ -54,11 +53,11 @@
         )
         self.at_fault = fields.at_fault
         self.misdirected = fields.misdirected
-        self.rest_s = fields.statement.cooldown.length_s
+        self.cooldown_s = fields.statement.cooldown.length_s
 
 
 class ClosedError(failures.FailureError):
-    """An endpoint came to want no requests before this one was sent."""
+    """The endpoint became unavailable before the request was sent."""
 
     def __init__(self, endpoint_id: str):
         super().__init__(
@@ -70,14 +69,14 @@
         self.endpoint_id = endpoint_id
 
 
-class LeftError(transports.AttemptError):
-    """The attempt was given up for another one, which is paid for.
+class AbandonedError(transports.AttemptError):
+    """The attempt was abandoned for a retry that has been granted.
 
     Attributes:
-      reason: why.
+      reason: why it was abandoned.
     """
 
-    def __init__(self, reason: silence.Reason):
+    def __init__(self, reason: stalls.Reason):
         message = "the endpoint kept silent"
         if reason is _Reason.BUSY:
             message = "the engine reads for others for too long"
@@ -92,11 +91,11 @@
 
 
 class FailedAnswerError(transports.AttemptError):
-    """A whole answer that says that the endpoint failed.
+    """A complete answer with a server error.
 
     Attributes:
-      answer: its head.
-      body: its body.
+      answer: status and headers of the answer.
+      body: body of the answer.
     """
 
     def __init__(self, answer: transports.Answer, body: bytes):
@@ -135,11 +134,11 @@
         """Creates a runner.
 
         Args:
-          placer: knows what engines have before them.
+          placer: predicts when engines finish their prefills.
           transport: sends to endpoints.
-          health: hears of endpoints that answered.
-          lease_holder: holds memory at engines.
-          statement_handler: hears what endpoints say of themselves.
+          health: records which endpoints answered.
+          lease_holder: holds memory leases at engines.
+          statement_handler: handles what endpoints state about themselves.
           timers: the clock.
         """
         self._placer = placer
@@ -152,166 +151,176 @@
     async def run(
         self,
         flow: flows.Flow,
-        place: places.Place,
-        may_leave: Callable[[silence.Reason], bool],
+        placement: placements.Placement,
+        may_abandon: Callable[[stalls.Reason], bool],
     ) -> None:
-        """Runs an attempt until the caller has the whole answer.
+        """Runs an attempt until the caller has the complete answer.
 
         Args:
           flow: the exchange.
-          place: where it goes.
-          may_leave: takes what another attempt costs; False if there is to be
-            none.
+          placement: where it is sent.
+          may_abandon: takes a retry from the budget; returns False if there is
+            to be none.
 
         Raises:
-          RefusedError: the endpoint did not run it.
-          ClosedError: it was not sent.
-          leases.LeaseError: memory for it could not be had.
-          transports.AttemptError: it failed.
+          RefusedError: the endpoint did not run the exchange.
+          ClosedError: the endpoint became unavailable; nothing was sent.
+          leases.LeaseError: an engine did not grant a memory lease.
+          transports.AttemptError: the attempt failed.
         """
-        watch: silence.SilenceWatch | None = None
+        detector: stalls.StallDetector | None = None
         try:
-            async with asyncio.timeout(None) as limit:
-                with silence.watch_silence(
-                    limit,
-                    lambda: self._placer.predict_free(place, flow.sink.begun),
-                    may_leave,
+            async with asyncio.timeout(None) as timeout:
+                with stalls.detect_stalls(
+                    timeout,
+                    lambda: self._placer.predict_prefill_end(
+                        placement, flow.sink.begun
+                    ),
+                    may_abandon,
                     self._timers,
-                ) as watch:
-                    async with self._leases.hold(place.held):
-                        await self._run_watched(flow, place, watch)
+                ) as detector:
+                    async with self._leases.hold(placement.held_leases):
+                        await self._send_watched(flow, placement, detector)
         except TimeoutError:
-            reason = watch.reason if watch else None
-            raise LeftError(reason or _Reason.SILENT) from None
+            reason = detector.reason if detector else None
+            raise AbandonedError(reason or _Reason.SILENT) from None
 
-    async def _run_watched(
+    async def _send_watched(
         self,
         flow: flows.Flow,
-        place: places.Place,
-        watch: silence.SilenceWatch,
+        placement: placements.Placement,
+        detector: stalls.StallDetector,
     ) -> None:
         exchange = flow.exchange
-        if not self._statements.may_send(place.endpoint):
-            raise ClosedError(place.endpoint.endpoint_id)
-        order = dialects.SendOptions(
-            place.endpoint.endpoint_id,
+        if not self._statements.may_send(placement.endpoint):
+            raise ClosedError(placement.endpoint.endpoint_id)
+        options = dialects.SendOptions(
+            placement.endpoint.endpoint_id,
             exchange.deadline_s - self._timers.read_monotonic(),
-            place.urgency,
+            placement.urgency,
             flow.cursor.last_event,
-            place.helpers,
+            placement.helpers,
         )
         flow.history.sent = True
         sent_s = self._timers.read_monotonic()
         if not flow.is_last_attempt:
-            watch.expect(_predict_patience(exchange.route, place))
-        with self._placer.watch_disturbance(
+            detector.expect_data(
+                _predict_first_byte_limit(exchange.route, placement)
+            )
+        with self._placer.watch_added_prefill(
             exchange,
-            place,
+            placement,
             lambda: flow.sink.begun,
-            lambda: watch.leave(_Reason.BUSY),
+            lambda: detector.abandon(_Reason.BUSY),
         ):
             async with self._transport.send(
-                exchange, place.endpoint.address, order
+                exchange, placement.endpoint.address, options
             ) as answer:
-                self._note_health(place.endpoint, answer)
+                self._note_health(placement.endpoint, answer)
                 self._statements.note_answer(
-                    place.endpoint, answer.fields, sent_s
+                    placement.endpoint, answer.fields, sent_s
                 )
                 _check_refusal(answer)
-                await self._pass_on(flow, answer, watch)
+                await self._forward_answer(flow, answer, detector)
 
     def _note_health(
         self, endpoint: lists.ListedEndpoint, answer: transports.Answer
     ) -> None:
-        """Takes in that an endpoint answered; a refusal is no success."""
+        """Records that an endpoint answered; a refusal is no success."""
         note = self._health.note_success
         if answer.fields.refused:
             note = self._health.note_reached
         note(endpoint.endpoint_id, endpoint.data_centre)
 
-    async def _pass_on(
+    async def _forward_answer(
         self,
         flow: flows.Flow,
         answer: transports.Answer,
-        watch: silence.SilenceWatch,
+        detector: stalls.StallDetector,
     ) -> None:
         streamed = flow.exchange.route.kind is routes.RouteKind.STREAMING
         if answer.status < 300 and not answer.fields.sealed:
             raise transports.make_error("the answer bears no signature")
         if streamed and answer.status == 200:
-            await self._pass_events(flow, answer, watch)
+            await self._forward_events(flow, answer, detector)
         else:
-            await self._pass_whole(flow, answer)
+            await self._forward_buffered(flow, answer)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         flow: flows.Flow,
         answer: transports.Answer,
-        watch: silence.SilenceWatch,
+        detector: stalls.StallDetector,
     ) -> None:
-        """Passes whole events on as they come."""
-        pause_s = max(PAUSE_LEAST_S, PAUSE_RATIO * flow.exchange.route.pause_s)
+        """Forwards complete events as they arrive."""
+        pause_s = max(MIN_PAUSE_S, PAUSE_RATIO * flow.exchange.route.pause_s)
         is_last = flow.is_last_attempt
         while data := await answer.read_some():
             events = flow.cursor.take(data)
             if not is_last:
-                watch.expect(pause_s)
+                detector.expect_data(pause_s)
             if not events:
                 continue
             if not flow.sink.begun:
                 await flow.sink.begin(answer.status, answer.headers, None)
             await flow.sink.write(events)
             flow.progress.note_piece(self._timers.read_monotonic())
-        watch.stop()
-        if flow.cursor.has_rest:
+        detector.stop()
+        if flow.cursor.has_partial_event:
             raise transports.make_error("the stream ended within an event")
         if not flow.sink.begun:
             await flow.sink.begin(answer.status, answer.headers, None)
         await flow.sink.finish()
 
-    async def _pass_whole(
+    async def _forward_buffered(
         self, flow: flows.Flow, answer: transports.Answer
     ) -> None:
-        """Holds a short answer back until it is whole, then passes it on."""
-        body = await _read_held(answer)
+        """Buffers a short answer until it is complete, then forwards it."""
+        body = await _read_buffered(answer)
         repeatable = flow.exchange.route.repeatable
         if flow.sink.begun or not answer.fields.sealed:
-            # A failure that no endpoint signed is not passed on as its own.
+            # An error that the endpoint did not sign is not forwarded as the
+            # endpoint's answer.
             raise transports.make_error(f"it answered {answer.status}")
         if answer.status >= 500 and repeatable:
             raise FailedAnswerError(answer, body)
-        if answer.status in _PROMISES and not repeatable:
+        if answer.status in _NOT_RUN_STATUSES and not repeatable:
             raise transports.make_error(f"it answered {answer.status}")
         flow.progress.note_piece(self._timers.read_monotonic())
-        await pass_held(flow.sink, answer, body)
+        await send_buffered(flow.sink, answer, body)
 
 
-async def pass_held(
+async def send_buffered(
     sink: sinks.Sink, answer: transports.Answer, body: bytes
 ) -> None:
-    """Passes on an answer whose body is here."""
+    """Sends a buffered answer to the caller."""
     await sink.begin(answer.status, answer.headers, len(body))
     await sink.write(body)
     await sink.finish()
 
 
-async def _read_held(answer: transports.Answer) -> bytes:
-    held: list[bytes] = []
+async def _read_buffered(answer: transports.Answer) -> bytes:
+    buffered: list[bytes] = []
     size = 0
     while data := await answer.read_some():
-        held.append(data)
+        buffered.append(data)
         size += len(data)
-        if size > HELD_BYTES:
+        if size > MAX_BUFFERED_BYTES:
             raise transports.make_error("the answer is too long to hold")
-    return b"".join(held)
+    return b"".join(buffered)
 
 
 def _check_refusal(answer: transports.Answer) -> None:
-    """Raises what an endpoint's word that it did not run means."""
+    """Raises RefusedError if the endpoint states that it did not run."""
     if answer.fields.refused:
         raise RefusedError(answer.status, answer.fields)
 
 
-def _predict_patience(route: routes.Route, place: places.Place) -> float:
-    """Returns the seconds that the first byte of an answer may take."""
-    return START_RATIO * place.expected_s + START_OBJECTIVES * route.objective_s
+def _predict_first_byte_limit(
+    route: routes.Route, placement: placements.Placement
+) -> float:
+    """Returns the limit of the time to first byte in seconds."""
+    return (
+        FIRST_BYTE_RATIO * placement.expected_s
+        + FIRST_BYTE_OBJECTIVES * route.objective_s
+    )
--- a/rhubarblock/exchange/callbalancer.py
+++ b/rhubarblock/exchange/callbalancer.py
@@ -1,4 +1,4 @@
-"""Plain calls under way at this instance, and where the next one goes."""
+"""Balances plain calls by the calls in flight at each endpoint."""
 
 from collections.abc import Iterator
 import contextlib
@@ -7,15 +7,17 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
 
-# Calls that run at a near endpoint before a far one is used: a third of the
-# usual six at once, as other instances call it too.
-FAR_CALLS = 2.5
-# Seconds for which an endpoint that refused a call counts as full.
+# Extra cost of an endpoint in another data centre, in calls in flight: an idle
+# far endpoint is used once the near one has three calls of this instance. The
+# cost is about a third of the usual six slots, as other instances call the near
+# one too.
+FAR_PENALTY_CALLS = 2.5
+# Time in seconds for which an endpoint that refused a call counts as full.
 FULL_S = 0.2
 
 
 class CallBalancer:
-    """Counts the calls of one instance by endpoint."""
+    """Counts the calls in flight of one instance by endpoint."""
 
     __slots__ = (
         "_calls",
@@ -31,11 +33,11 @@
         data_centre: str,
         timers: timer_service.Timers,
     ):
-        """Starts with none.
+        """Creates a balancer without calls.
 
         Args:
-          health: tells how many answers of an endpoint are failures.
-          data_centre: where this instance runs.
+          health: error rates of endpoints.
+          data_centre: data centre of this instance.
           timers: the clock.
         """
         self._health = health
@@ -47,12 +49,12 @@
     def choose(
         self, endpoints: list[lists.ListedEndpoint]
     ) -> lists.ListedEndpoint:
-        """Returns the endpoint against which least speaks."""
-        return min(endpoints, key=self._weigh)
+        """Returns the endpoint with the lowest cost."""
+        return min(endpoints, key=self._compute_cost)
 
     @contextlib.contextmanager
     def hold(self, endpoint_id: str) -> Iterator[None]:
-        """Counts a call while the context is open."""
+        """Counts a call as in flight while the context is open."""
         self._calls[endpoint_id] = self._calls.get(endpoint_id, 0) + 1
         try:
             yield
@@ -60,24 +62,24 @@
             self._calls[endpoint_id] -= 1
 
     def note_refused(self, endpoint_id: str) -> None:
-        """Takes in that an endpoint refused a call.
+        """Records that an endpoint refused a call.
 
-        What refuses at once has no calls under way, and would else look better
-        than any other.
+        An endpoint that refuses at once has no calls in flight and would
+        otherwise look better than all others.
         """
         now_s = self._timers.read_monotonic()
         self._full_until_s[endpoint_id] = now_s + FULL_S
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Forgets endpoints that are not there any more and run nothing."""
+        """Drops unlisted endpoints that have no calls in flight."""
         for endpoint_id in [e for e in self._calls if e not in endpoint_ids]:
             if not self._calls[endpoint_id]:
                 del self._calls[endpoint_id]
         for endpoint_id in set(self._full_until_s) - endpoint_ids:
             del self._full_until_s[endpoint_id]
 
-    def _weigh(self, endpoint: lists.ListedEndpoint) -> float:
-        """Returns what speaks against an endpoint, in calls before it."""
+    def _compute_cost(self, endpoint: lists.ListedEndpoint) -> float:
+        """Returns the cost of an endpoint, in calls in flight."""
         calls = self._calls.get(endpoint.endpoint_id, 0)
         if self._is_full(endpoint.endpoint_id):
             calls = max(calls, endpoint.slots)
@@ -85,7 +87,7 @@
             endpoint.endpoint_id
         )
         is_far = endpoint.data_centre != self._data_centre
-        return calls + errors + FAR_CALLS * is_far
+        return calls + errors + FAR_PENALTY_CALLS * is_far
 
     def _is_full(self, endpoint_id: str) -> bool:
         until_s = self._full_until_s.get(endpoint_id)
--- a/rhubarblock/exchange/candidates.py
+++ b/rhubarblock/exchange/candidates.py
@@ -1,8 +1,8 @@
-"""The endpoints that an exchange may go to.
+"""Selects the endpoints that an exchange may be sent to.
 
-Of those that the list names an instance uses a part. It sends nothing to those
-that asked for rest or have no permit within their rate limit, leaves alone
-those that failed lately, and gives an endpoint on trial short work only.
+An instance uses a subset of the listed endpoints. It sends nothing to endpoints
+in a cool-down or to rate-limited ones without a permit, avoids those that
+failed lately, and probes a recovering endpoint with short requests only.
 """
 
 import dataclasses
@@ -17,19 +17,19 @@
 from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
 
-# Seconds over which callers come back that were refused because of a rest: only
-# one of them tries the endpoint at first.
+# Jitter in seconds on the Retry-After of callers that a cool-down refused: the
+# first of them probes the endpoint.
 REST_SPREAD_S = 1.0
-# Longest prompt in tokens with which an endpoint that failed is tried again.
+# Longest prompt in tokens that may probe an endpoint that failed.
 TRIAL_TOKENS = 8_000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _UsedEndpoints:
-    """The endpoints of a service that this instance uses.
+    """Cached endpoints of a service that this instance uses.
 
     Attributes:
-      number: of the directory's change from which they were derived.
+      number: the directory's change number from which they were derived.
       endpoints: the endpoints.
     """
 
@@ -38,12 +38,12 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Opening:
-    """When a caller that found no endpoint open may come back.
+class RetryAdvice:
+    """When a caller that found no available endpoint may retry.
 
     Attributes:
-      after_s: seconds from now.
-      reason: what kept its request from all endpoints.
+      after_s: Retry-After in seconds.
+      reason: why no endpoint was available.
     """
 
     after_s: float
@@ -51,7 +51,7 @@
 
 
 class Candidates:
-    """Chooses among the endpoints of a service for one instance."""
+    """Selects among the endpoints of a service for one instance."""
 
     __slots__ = (
         "_data_centre",
@@ -59,7 +59,7 @@
         "_health",
         "_limits",
         "_own_id",
-        "_rests",
+        "_cooldowns",
         "_rng",
         "_subsets",
         "_timers",
@@ -72,30 +72,30 @@
         health: healths.Health,
         subsets_: subsets.Subsets,
         limits: endpointlimits.EndpointLimits,
-        rests_: cooldowns.Cooldowns,
+        cooldowns_: cooldowns.Cooldowns,
         instance_id: str,
         data_centre: str,
         timers: timer_service.Timers,
         rng: random.Random,
     ):
-        """Starts with nothing derived.
+        """Creates a selector with an empty cache.
 
         Args:
-          directory: endpoints that are known.
-          health: endpoints to leave alone.
+          directory: known endpoints.
+          health: circuit breakers of endpoints.
           subsets_: which endpoints of a large pool an instance uses.
-          limits: rate limits that endpoints name.
-          rests_: endpoints that asked for rest.
+          limits: rate limits that endpoints state.
+          cooldowns_: cool-downs that endpoints asked for.
           instance_id: name of this instance.
-          data_centre: where it runs.
+          data_centre: data centre of this instance.
           timers: the clock.
-          rng: spreads callers that come back.
+          rng: jitter of Retry-After.
         """
         self._directory = directory
         self._health = health
         self._subsets = subsets_
         self._limits = limits
-        self._rests = rests_
+        self._cooldowns = cooldowns_
         self._rng = rng
         self._own_id = instance_id
         self._data_centre = data_centre
@@ -105,138 +105,140 @@
     def list_for(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> list[lists.ListedEndpoint]:
-        """Returns the endpoints to choose from, sound ones if there are any.
+        """Returns the endpoints to choose from, healthy ones if there are any.
 
-        An endpoint that failed is offered to short work only, one request at a
-        time, so that a long prompt does not depend on its coming back.
+        An endpoint that failed is probed by short requests only, one at a time,
+        so that no long prompt depends on its recovery.
 
         Args:
-          exchange: what is to be sent.
-          avoid: endpoints that failed it.
+          exchange: the exchange to send.
+          avoid: ids of endpoints at which it failed.
         """
         now_s = self._timers.read_monotonic()
-        usable = self._list_open(exchange, avoid)
-        sound = [
+        usable = self._list_available(exchange, avoid)
+        healthy = [
             endpoint
             for endpoint in usable
-            if not self._is_left_alone(endpoint, now_s)
+            if not self._is_deprioritised(endpoint, now_s)
         ]
         if exchange.prompt_tokens <= TRIAL_TOKENS:
-            return self._limits.select_due(sound) or sound or usable
-        # Reading in parts takes many orders, and an endpoint that named a limit
-        # wants few requests.
-        sound = self._limits.select_unlimited(sound) or sound
+            return self._limits.select_due(healthy) or healthy or usable
+        # A split prefill takes many requests, so rate-limited endpoints come
+        # last.
+        healthy = self._limits.select_unlimited(healthy) or healthy
         proven = [
             endpoint
-            for endpoint in sound
+            for endpoint in healthy
             if not self._health.is_tripped(endpoint.endpoint_id)
         ]
-        return proven or sound or usable
+        return proven or healthy or usable
 
-    def predict_opening(
+    def predict_availability(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> float | None:
-        """Returns the seconds until an endpoint may be open for an exchange.
+        """Returns the seconds until an endpoint may be available.
 
         Args:
-          exchange: what is to be sent.
-          avoid: endpoints that failed it.
+          exchange: the exchange to send.
+          avoid: ids of endpoints at which it failed.
 
         Returns:
-          None if no rate limit and no rest keeps it from some endpoint.
+          None if neither a rate limit nor a cool-down blocks some endpoint.
         """
-        awake = self._list_awake(exchange, avoid)
-        permit_s = self._limits.predict_permit(awake)
-        if awake and permit_s is None:
+        ready = self._list_not_cooling_down(exchange, avoid)
+        permit_s = self._limits.predict_permit(ready)
+        if ready and permit_s is None:
             return None
-        waits = [permit_s, self._find_rest_end(exchange, avoid)]
+        waits = [permit_s, self._find_cooldown_end(exchange, avoid)]
         return min((s for s in waits if s is not None), default=None)
 
-    def find_return(
+    def find_retry_after(
         self, exchange: exchanges.Exchange, avoid: set[str]
-    ) -> Opening | None:
-        """Returns when a refused caller may come back.
+    ) -> RetryAdvice | None:
+        """Returns when a refused caller may retry.
 
         Args:
-          exchange: what is to be sent.
-          avoid: endpoints that failed it.
+          exchange: the exchange to send.
+          avoid: ids of endpoints at which it failed.
 
         Returns:
-          None if neither rate limits nor rests were why.
+          None if neither rate limits nor cool-downs were the reason.
         """
-        awake = self._list_awake(exchange, avoid)
-        permit_s = self._limits.find_return(awake)
-        if awake and permit_s is None:
+        ready = self._list_not_cooling_down(exchange, avoid)
+        permit_s = self._limits.find_retry_after(ready)
+        if ready and permit_s is None:
             return None
-        rest_s = None
-        if len(self._list_awake(exchange, set())) == len(awake):
-            # An endpoint that turned this request away may take the next one.
-            rest_s = self._find_rest_end(exchange, set())
-        if rest_s is not None:
-            rest_s += REST_SPREAD_S * self._rng.random()
-            if permit_s is None or rest_s < permit_s:
-                return Opening(rest_s, "endpoints ask for rest")
+        cooldown_s = None
+        if len(self._list_not_cooling_down(exchange, set())) == len(ready):
+            # An endpoint that refused this request may accept the next one.
+            cooldown_s = self._find_cooldown_end(exchange, set())
+        if cooldown_s is not None:
+            cooldown_s += REST_SPREAD_S * self._rng.random()
+            if permit_s is None or cooldown_s < permit_s:
+                return RetryAdvice(cooldown_s, "endpoints ask for rest")
         if permit_s is None:
             return None
         reason = "the rate limits of endpoints leave no room"
-        return Opening(permit_s, reason)
+        return RetryAdvice(permit_s, reason)
 
-    def _find_rest_end(
+    def _find_cooldown_end(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> float | None:
-        """Returns the seconds until the first rest ends, None without one."""
+        """Returns the seconds until the first cool-down ends, or None."""
         now_s = self._timers.read_monotonic()
-        left = [
-            self._rests.find_remaining(endpoint.endpoint_id, now_s)
-            for endpoint in self._list_unavoided(exchange, avoid)
+        remaining = [
+            self._cooldowns.find_remaining(endpoint.endpoint_id, now_s)
+            for endpoint in self._list_not_avoided(exchange, avoid)
         ]
-        return min((left_s for left_s in left if left_s > 0.0), default=None)
+        return min(
+            (left_s for left_s in remaining if left_s > 0.0), default=None
+        )
 
-    def _is_left_alone(
+    def _is_deprioritised(
         self, endpoint: lists.ListedEndpoint, now_s: float
     ) -> bool:
-        """Says whether others go first, if there are any."""
-        if self._rests.is_probed(endpoint.endpoint_id, now_s):
+        """Returns whether other endpoints are preferred."""
+        if self._cooldowns.is_probed(endpoint.endpoint_id, now_s):
             return True
         return self._health.is_suspect(
             endpoint.endpoint_id, endpoint.data_centre, now_s
         )
 
-    def _list_open(
+    def _list_available(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> list[lists.ListedEndpoint]:
-        """Returns the endpoints that no rest and no rate limit forbids now.
+        """Returns the endpoints that no cool-down and no rate limit blocks.
 
-        A permit is asked for where it could be of use.
+        Requests a permit if one could be used.
         """
-        used = self._list_awake(exchange, avoid)
+        used = self._list_not_cooling_down(exchange, avoid)
         usable = self._limits.select_open(used)
         if len(usable) == len(used):
             return used
         if not usable or exchange.prompt_tokens <= TRIAL_TOKENS:
             now_s = self._timers.read_monotonic()
-            patience_s = endpointlimits.find_patience(exchange, now_s)
-            within_s = max(endpointlimits.LEAST_WITHIN_S, patience_s)
+            max_wait_s = endpointlimits.find_max_wait(exchange, now_s)
+            within_s = max(endpointlimits.LEAST_WITHIN_S, max_wait_s)
             self._limits.ask(used, exchange.request_id, within_s)
             # This instance may grant the permit itself.
             usable = self._limits.select_open(used)
         return usable
 
-    def _list_awake(
+    def _list_not_cooling_down(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> list[lists.ListedEndpoint]:
-        """Returns the endpoints that want requests, be it a few only."""
-        used = self._list_unavoided(exchange, avoid)
-        if not self._rests:
+        """Returns the endpoints without a cool-down, rate-limited ones too."""
+        used = self._list_not_avoided(exchange, avoid)
+        if not self._cooldowns:
             return used
         now_s = self._timers.read_monotonic()
         return [
             endpoint
             for endpoint in used
-            if not self._rests.is_cooling_down(endpoint.endpoint_id, now_s)
+            if not self._cooldowns.is_cooling_down(endpoint.endpoint_id, now_s)
         ]
 
-    def _list_unavoided(
+    def _list_not_avoided(
         self, exchange: exchanges.Exchange, avoid: set[str]
     ) -> list[lists.ListedEndpoint]:
         used = self._list_used(exchange.service.name)
@@ -247,13 +249,13 @@
     def _list_used(self, service: str) -> list[lists.ListedEndpoint]:
         """Returns the endpoints of a service that this instance uses.
 
-        They are derived anew when the directory changed. Each prompt asks for
-        them, and going through a pool of 195 takes 0.1 ms.
+        The result is cached until the directory changes: each prompt needs it,
+        and filtering a pool of 195 endpoints takes 0.1 ms.
         """
         number = self._directory.number
-        kept = self._used.get(service)
-        if kept is not None and kept.number == number:
-            return kept.endpoints
+        cached = self._used.get(service)
+        if cached is not None and cached.number == number:
+            return cached.endpoints
         listed = self._directory.list_usable(service)
         used = self._subsets.select(self._own_id, self._data_centre, listed)
         self._used[service] = _UsedEndpoints(number, used)
--- a/rhubarblock/exchange/crashes.py
+++ b/rhubarblock/exchange/crashes.py
@@ -1,9 +1,9 @@
-"""Keeps requests that crash endpoints from crashing more of them.
+"""Detects endpoint crashes and quarantines the requests that cause them.
 
-When a connection breaks within an answer, the endpoint is tried once: only one
-that refuses connections has crashed. What ran there is told to the peers, and
-every instance lays crashes to requests in the same book. A request that is in
-quarantine is refused until its time is over.
+When a connection breaks within an answer, the endpoint is probed once: only one
+that refuses connections has crashed. The requests that ran there are announced
+to all peers, so that every instance attributes crashes to requests in the same
+way. A quarantined request is refused until its quarantine ends.
 """
 
 import asyncio
@@ -20,36 +20,36 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing.quarantine import registry as quarantineregistry
 
-# Seconds that the trial of an endpoint may take.
-TRIAL_S = 0.3
-# Longest time in seconds after which a refused caller is told to come back.
-RETRY_S = 60.0
+# Timeout of a probe in seconds.
+PROBE_TIMEOUT_S = 0.3
+# Retry-After of a quarantined request in seconds.
+RETRY_AFTER_S = 60.0
 
 _logger = logging.getLogger(__name__)
 
-Trial = Callable[[str], Awaitable[bool]]
+Probe = Callable[[str], Awaitable[bool]]
 
 
 async def has_crashed(address: str) -> bool:
-    """Says whether nobody listens at an address."""
+    """Returns whether an address refuses connections."""
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(TRIAL_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError):
-        # Silence may be the way's fault.
+        # A timeout may be a network fault.
         return False
     writer.close()
     return False
 
 
 class CrashDetector:
-    """What runs where, and what is laid to it."""
+    """Tracks what runs at each endpoint and which requests crash endpoints."""
 
     __slots__ = (
-        "_book",
+        "_registry",
         "_has_crashed",
         "_updates",
         "_running",
@@ -61,28 +61,28 @@
         self,
         updates: peer_updates.PeerUpdates,
         timers: timer_service.Timers,
-        trial: Trial = has_crashed,
+        probe: Probe = has_crashed,
     ):
-        """Starts with an empty book.
+        """Creates a detector with an empty registry.
 
         Args:
-          updates: tells peers and hears of them.
-          timers: the clock; times stay within this instance.
-          trial: says whether nobody listens at an address.
+          updates: exchanges crash announcements with peers.
+          timers: the clock; its times are not sent to peers.
+          probe: returns whether an address refuses connections.
         """
-        self._book = quarantineregistry.QuarantineRegistry()
+        self._registry = quarantineregistry.QuarantineRegistry()
         self._updates = updates
         self._timers = timers
-        self._has_crashed = trial
+        self._has_crashed = probe
         self._running: dict[str, dict[str, float]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        updates.on_crash = self._hear
+        updates.on_crash = self._record_crash
 
     def check(self, exchange: exchanges.Exchange) -> None:
-        """Refuses an exchange that is in quarantine.
+        """Refuses a quarantined exchange.
 
         Raises:
-          failures.FailureError: it is; it did not run.
+          failures.FailureError: it is quarantined; it did not run.
         """
         if not self.is_quarantined(exchange):
             return
@@ -90,53 +90,53 @@
             failures.Failure(
                 failures.FailureCode.NO_ENDPOINT,
                 "requests like this one crashed endpoints",
-                retry_after_s=RETRY_S,
+                retry_after_s=RETRY_AFTER_S,
             )
         )
 
     def is_quarantined(self, exchange: exchanges.Exchange) -> bool:
-        """Says whether an exchange may not run at present."""
+        """Returns whether an exchange is quarantined."""
         now_s = self._timers.read_monotonic()
         digest = quarantineregistry.shorten(exchange.digest)
-        decision = self._book.decide(digest, now_s)
+        decision = self._registry.decide(digest, now_s)
         return decision is quarantineregistry.Decision.REFUSE
 
     @contextlib.contextmanager
     def note_running(
         self, exchange: exchanges.Exchange, endpoint: lists.ListedEndpoint
     ) -> Iterator[None]:
-        """Keeps in mind what runs at an endpoint while the context is open."""
+        """Tracks an exchange as running while the context is open."""
         digest = quarantineregistry.shorten(exchange.digest)
-        there = self._running.setdefault(endpoint.endpoint_id, {})
-        there[digest] = self._timers.read_monotonic()
+        started = self._running.setdefault(endpoint.endpoint_id, {})
+        started[digest] = self._timers.read_monotonic()
         try:
             yield
         finally:
-            there.pop(digest, None)
-            if not there:
+            started.pop(digest, None)
+            if not started:
                 self._running.pop(endpoint.endpoint_id, None)
 
     def note_served(self, exchange: exchanges.Exchange) -> None:
-        """Takes in that an exchange ended well, which clears it."""
+        """Clears an exchange of suspicion after it succeeded."""
         now_s = self._timers.read_monotonic()
         digest = quarantineregistry.shorten(exchange.digest)
         allowed = quarantineregistry.Decision.ALLOW
-        if self._book.decide(digest, now_s) is not allowed:
-            self._book.clear(digest, now_s)
+        if self._registry.decide(digest, now_s) is not allowed:
+            self._registry.clear(digest, now_s)
 
     def note_broken(self, endpoint: lists.ListedEndpoint) -> None:
-        """Begins to find out whether an endpoint crashed under its work.
+        """Starts a probe that finds out whether an endpoint crashed.
 
-        It is called while what broke is still noted as running there.
+        Must be called while the broken exchange is still tracked as running.
         """
         now_s = self._timers.read_monotonic()
-        there = self._running.get(endpoint.endpoint_id, {})
-        ages = {digest: now_s - begun_s for digest, begun_s in there.items()}
-        task = asyncio.ensure_future(self._try_endpoint(endpoint, ages))
+        started = self._running.get(endpoint.endpoint_id, {})
+        ages = {digest: now_s - begun_s for digest, begun_s in started.items()}
+        task = asyncio.ensure_future(self._probe_endpoint(endpoint, ages))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _try_endpoint(
+    async def _probe_endpoint(
         self, endpoint: lists.ListedEndpoint, ages: dict[str, float]
     ) -> None:
         if not await self._has_crashed(endpoint.address):
@@ -146,9 +146,9 @@
             "endpoint crashed",
             extra={"endpoint": endpoint.endpoint_id, "under": sorted(young)},
         )
-        self._hear(endpoint.endpoint_id, ages)
+        self._record_crash(endpoint.endpoint_id, ages)
         self._updates.announce_crash(endpoint.endpoint_id, ages)
 
-    def _hear(self, endpoint_id: str, ages: dict[str, float]) -> None:
+    def _record_crash(self, endpoint_id: str, ages: dict[str, float]) -> None:
         now_s = self._timers.read_monotonic()
-        self._book.add_crash(endpoint_id, ages, now_s)
+        self._registry.add_crash(endpoint_id, ages, now_s)
--- a/rhubarblock/exchange/crashes_test.py
+++ b/rhubarblock/exchange/crashes_test.py
@@ -1,4 +1,4 @@
-"""A request that crashes endpoints, over several instances."""
+"""Quarantine of requests that crash endpoints, over several instances."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class PeerUpdates:
-    """Tells all watches at once."""
+    """Delivers crash announcements to all detectors at once."""
 
     def __init__(self, group):
         self.on_crash = None
@@ -33,31 +33,31 @@
     return False
 
 
-def make_watches(count, trial=crash):
+def make_detectors(count, probe=crash):
     timers = timer_service.LoopTimers(0.0)
     group = []
     return [
-        crashes.CrashDetector(PeerUpdates(group), timers, trial)
+        crashes.CrashDetector(PeerUpdates(group), timers, probe)
         for _ in range(count)
     ]
 
 
-async def run_and_break(watch, exchange, number):
+async def run_and_crash(detector, exchange, number):
     endpoint = fakes.make_endpoint(number)
-    with watch.note_running(exchange, endpoint):
+    with detector.note_running(exchange, endpoint):
         await asyncio.sleep(0.1)
-        watch.note_broken(endpoint)
+        detector.note_broken(endpoint)
     await asyncio.sleep(0.1)
 
 
-def test_second_crash_is_the_last_one_anywhere():
+def test_second_crash_quarantines_a_request_at_all_instances():
     async def main():
-        first, second, third = make_watches(3)
+        first, second, third = make_detectors(3)
         poison = fakes.make_exchange(digest="p" * 32)
-        await run_and_break(first, poison, 1)
+        await run_and_crash(first, poison, 1)
         second.check(poison)
         await asyncio.sleep(3.0)
-        await run_and_break(second, poison, 2)
+        await run_and_crash(second, poison, 2)
         with pytest.raises(failures.FailureError) as raised:
             third.check(poison)
         return raised.value.failure
@@ -67,16 +67,16 @@
     assert failure.retry_after_s == 60.0
 
 
-def test_innocent_request_beside_it_goes_on():
+def test_innocent_request_at_the_same_endpoint_is_not_quarantined():
     async def main():
-        first, second = make_watches(2)
+        first, second = make_detectors(2)
         poison = fakes.make_exchange(digest="p" * 32)
         innocent = fakes.make_exchange(digest="i" * 32)
         endpoint = fakes.make_endpoint(1)
         with first.note_running(innocent, endpoint):
-            await run_and_break(first, poison, 1)
+            await run_and_crash(first, poison, 1)
         await asyncio.sleep(3.0)
-        await run_and_break(second, poison, 2)
+        await run_and_crash(second, poison, 2)
         first.check(innocent)
         with pytest.raises(failures.FailureError):
             first.check(poison)
@@ -84,27 +84,27 @@
     virtualloop.run(main())
 
 
-def test_request_that_ends_well_is_cleared():
+def test_request_that_succeeds_is_cleared():
     async def main():
-        (watch,) = make_watches(1)
+        (detector,) = make_detectors(1)
         exchange = fakes.make_exchange(digest="i" * 32)
-        await run_and_break(watch, exchange, 1)
-        watch.note_served(exchange)
+        await run_and_crash(detector, exchange, 1)
+        detector.note_served(exchange)
         await asyncio.sleep(3.0)
-        await run_and_break(watch, exchange, 2)
-        watch.check(exchange)
+        await run_and_crash(detector, exchange, 2)
+        detector.check(exchange)
 
     virtualloop.run(main())
 
 
-def test_endpoint_that_only_lost_an_answer_did_not_crash():
+def test_broken_connection_to_a_live_endpoint_is_no_crash():
     async def main():
-        (watch,) = make_watches(1, stay_up)
+        (detector,) = make_detectors(1, stay_up)
         exchange = fakes.make_exchange(digest="i" * 32)
         for number in range(1, 5):
-            await run_and_break(watch, exchange, number)
+            await run_and_crash(detector, exchange, number)
             await asyncio.sleep(3.0)
-        watch.check(exchange)
+        detector.check(exchange)
 
     virtualloop.run(main())
 
--- a/rhubarblock/exchange/dialect.py
+++ b/rhubarblock/exchange/dialect.py
@@ -1,8 +1,8 @@
-"""How a deployment spells what the relay of exchanges understands.
+"""Interface to the header fields and formats of a deployment.
 
 The relay knows the meaning of a deadline, a key or a refusal; a dialect knows
-its spelling. An adapter implements it, so that no name of a certain
-deployment stands in the product.
+how a deployment encodes it. Each deployment has an adapter that implements the
+interface, so the product contains no names of a deployment.
 """
 
 import abc
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerFields:
-    """What a caller's head says besides the exchange itself.
+    """Decoded header fields of a caller's request.
 
     Attributes:
       request_id: id of this attempt of the caller.
-      key: the caller's key, or empty.
-      remaining_s: seconds that the caller waits; 0 where it did not say.
-      prompt_tokens: tokens of the prompt, or 0.
-      answer_tokens: most tokens of the answer, or 0.
+      key: the caller's API key, or empty.
+      remaining_s: seconds that the caller waits; 0 if not stated.
+      prompt_tokens: length of the prompt in tokens, or 0.
+      answer_tokens: maximum length of the answer in tokens, or 0.
       last_event: number of the last event that the caller has, or -1.
     """
 
@@ -42,11 +42,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Helper:
-    """An engine that reads a part of a prompt.
+    """An engine that prefills a part of a prompt.
 
     Attributes:
-      address: where it is.
-      lease_id: its memory lease, or empty.
+      address: ``host:port`` of the engine.
+      lease_id: id of its memory lease, or empty.
     """
 
     address: str
@@ -55,14 +55,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SendOptions:
-    """How one attempt is addressed.
+    """Options with which one attempt is sent.
 
     Attributes:
-      endpoint_id: start of an endpoint that it is meant for.
+      endpoint_id: id of the endpoint that it is meant for.
       remaining_s: seconds that the endpoint may work on it.
-      urgency: rank at an engine, 0 is first; None leaves the usual one.
+      urgency: rank at an engine, 0 is first; None keeps the default.
       last_event: number of the last event that the caller has, or -1.
-      helpers: engines that read parts of the prompt.
+      helpers: engines that prefill parts of the prompt.
     """
 
     endpoint_id: str
@@ -73,21 +73,21 @@
 
     @property
     def holds_memory(self) -> bool:
-        """Whether memory is held for it at other engines while it runs."""
+        """Whether it has memory leases at other engines."""
         return any(helper.lease_id for helper in self.helpers)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AnswerFields:
-    """What the head of an endpoint's answer says.
+    """Decoded header fields of an endpoint's answer.
 
     Attributes:
-      request_id: id of the attempt that it answers.
-      sealed: whether it bears the endpoint's signature.
-      refused: whether the endpoint says that it did not run the request.
-      misdirected: whether another endpoint has the address now.
-      at_fault: address of the endpoint that made it fail, or empty.
-      statement: what it says of the endpoint itself.
+      request_id: id of the attempt that is answered.
+      sealed: whether the answer has the endpoint's signature.
+      refused: whether the endpoint states that it did not run the request.
+      misdirected: whether the address belongs to another endpoint now.
+      at_fault: address of the endpoint that caused a refusal, or empty.
+      statement: what the endpoint states about itself.
     """
 
     request_id: str
@@ -100,11 +100,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ConfigurationText:
-    """A configuration as its writer accepted it.
+    """An accepted version of the configuration.
 
     Attributes:
-      version: rises with each accepted change.
-      pieces: texts by name, in the deployment's spelling.
+      version: increases with each accepted change.
+      pieces: texts by name, in the deployment's format.
     """
 
     version: int
@@ -112,21 +112,21 @@
 
 
 class LeaseAnswer(enum.Enum):
-    """What an engine said to an order about memory."""
+    """An engine's answer to a lease request."""
 
     DONE = "done"
     REFUSED = "refused"
-    # No answer: it may have been carried out, or may be seconds later.
+    # No answer: the request may have been carried out, or may be later.
     UNSURE = "unsure"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LeaseReply:
-    """An engine's answer to an order about memory.
+    """A reply to a lease request.
 
     Attributes:
-      answer: what it said to the order.
-      statement: what it says of itself beside.
+      answer: whether the engine carried it out.
+      statement: what the engine states about itself.
     """
 
     answer: LeaseAnswer
@@ -135,12 +135,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """Memory to set aside at an engine.
+    """A request for a memory lease at an engine.
 
     Attributes:
-      lease_id: names it; the same id again renews it.
-      tokens: how much.
-      hold_s: seconds until it lapses by itself.
+      lease_id: id of the lease; the same id again renews it.
+      tokens: amount of memory in tokens.
+      hold_s: seconds until it expires.
     """
 
     lease_id: str
@@ -149,28 +149,28 @@
 
 
 class LeaseClient(abc.ABC):
-    """Orders about memory to engines."""
+    """Client for memory leases at engines."""
 
     @abc.abstractmethod
     async def reserve(
-        self, endpoint: listed.ListedEndpoint, order: LeaseRequest
+        self, endpoint: listed.ListedEndpoint, request: LeaseRequest
     ) -> LeaseReply:
-        """Sets memory aside, or renews what is set aside under the same id."""
+        """Acquires a lease, or renews the one with the same id."""
 
     @abc.abstractmethod
     async def release(
         self, endpoint: listed.ListedEndpoint, lease_id: str
     ) -> LeaseReply:
-        """Gives memory back."""
+        """Releases a lease."""
 
 
 class Dialect(abc.ABC):
-    """Spelling of one deployment."""
+    """Header fields and formats of one deployment."""
 
     @property
     @abc.abstractmethod
     def configuration_name(self) -> str:
-        """Name of the object with the newest configuration."""
+        """Name of the object that holds the latest configuration."""
 
     @property
     @abc.abstractmethod
@@ -179,38 +179,38 @@
 
     @abc.abstractmethod
     def read_caller(self, fields: Mapping[str, str]) -> CallerFields:
-        """Decodes a caller's head."""
+        """Decodes the header fields of a caller's request."""
 
     @abc.abstractmethod
     def filter_request_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        """Returns a caller's fields that go to the endpoint unchanged."""
+        """Returns the header fields that are forwarded to the endpoint."""
 
     @abc.abstractmethod
     def filter_response_headers(
         self, fields: Iterable[tuple[str, str]], connection: str
     ) -> tuple[exchanges.Header, ...]:
-        """Returns an endpoint's fields that go to the caller unchanged."""
+        """Returns the header fields that are forwarded to the caller."""
 
     @abc.abstractmethod
     def address(
-        self, exchange: exchanges.Exchange, order: SendOptions
+        self, exchange: exchanges.Exchange, options: SendOptions
     ) -> list[tuple[str, str]]:
-        """Returns the head with which an exchange goes to an endpoint."""
+        """Returns the header fields with which an exchange is sent."""
 
     @abc.abstractmethod
     def read_answer(
         self, status: int, fields: Mapping[str, str]
     ) -> AnswerFields:
-        """Decodes the head of an endpoint's answer."""
+        """Decodes the header fields of an endpoint's answer."""
 
     @abc.abstractmethod
     def split_configuration(self, value: bytes) -> ConfigurationText:
-        """Splits a configuration into pieces that change by themselves.
+        """Splits a configuration into pieces that change independently.
 
         Raises:
-          ValueError: it can't be read.
+          ValueError: it can't be decoded.
         """
 
     @abc.abstractmethod
@@ -220,15 +220,15 @@
         document: documents.Document,
         difference: documents.Difference,
     ) -> routes.RoutingTable:
-        """Decodes what changed in a configuration.
+        """Decodes the changes of a configuration.
 
         Args:
-          before: the table before the change; None decodes all.
-          document: the document after it.
-          difference: what led from the one to the other.
+          before: the table before the change; None decodes everything.
+          document: the document after the change.
+          difference: the change itself.
 
         Raises:
-          ValueError: it can't be read.
+          ValueError: it can't be decoded.
         """
 
     @abc.abstractmethod
@@ -238,5 +238,5 @@
         """Decodes an entry of the list of endpoints.
 
         Raises:
-          ValueError: it can't be read.
+          ValueError: it can't be decoded.
         """
--- a/rhubarblock/exchange/eventcursor.py
+++ b/rhubarblock/exchange/eventcursor.py
@@ -1,7 +1,7 @@
-"""Cuts a stream into whole events and knows the last one passed on.
+"""Splits a stream into complete events and tracks the last one.
 
-A broken stream may end in the middle of an event. Only whole events are passed
-on, so another endpoint can go on after the last of them.
+A broken stream may end in the middle of an event. Only complete events are
+forwarded, so another endpoint can resume after the last of them.
 """
 
 _END = b"\n\n"
@@ -9,39 +9,39 @@
 
 
 class EventCursor:
-    """Place in a stream of events.
+    """Position in a stream of events.
 
     Attributes:
-      last_event: number of the last whole event, or -1 before the first.
+      last_event: number of the last complete event, or -1 before the first.
     """
 
-    __slots__ = ("_rest", "last_event")
+    __slots__ = ("_partial", "last_event")
 
     def __init__(self, last_event: int = -1):
-        """Starts after an event that the caller has already."""
+        """Starts after the last event that the caller has."""
         self.last_event = last_event
-        self._rest = b""
+        self._partial = b""
 
     @property
-    def has_rest(self) -> bool:
-        """Whether the stream stands within an event."""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """Whether an incomplete event is buffered."""
+        return bool(self._partial)
 
-    def start_again(self) -> None:
-        """Drops the begin of an event that another endpoint sends whole."""
-        self._rest = b""
+    def discard_partial_event(self) -> None:
+        """Drops the start of an event that another endpoint sends again."""
+        self._partial = b""
 
     def take(self, data: bytes) -> bytes:
-        """Returns the whole events that end within some bytes.
+        """Returns the events that these bytes complete.
 
         Args:
           data: the next bytes of the stream.
         """
-        self._rest += data.replace(b"\r\n", b"\n") if b"\r" in data else data
-        whole, end, rest = self._rest.rpartition(_END)
+        self._partial += data.replace(b"\r\n", b"\n") if b"\r" in data else data
+        whole, end, rest = self._partial.rpartition(_END)
         if not end:
             return b""
-        self._rest = rest
+        self._partial = rest
         events = whole + end
         self._note_last(events)
         return events
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the tests of exchanges."""
+"""Test doubles for the tests of exchanges."""
 
 import asyncio
 import contextlib
@@ -104,7 +104,7 @@
 class ScriptedEndpoint:
     """Answers each request with the next script, over a real socket.
 
-    A script is a coroutine function of a reader's head and a writer.
+    A script is a coroutine function of a request's head and a writer.
     """
 
     def __init__(self, *scripts):
@@ -142,7 +142,7 @@
 
 
 def whole(body=b"ok", status="200 OK", extra="", request_id="q1", seal=True):
-    """A script that gives a whole answer."""
+    """Returns a script that sends a complete answer."""
 
     async def script(head, writer):
         sealed = f"{SEAL}: s\r\n" if seal else ""
@@ -156,7 +156,7 @@
 
 
 def events(*numbers, end=True, rest=b"", extra=""):
-    """A script that sends events in chunks, and the end unless told not to."""
+    """Returns a script that streams events, and then ends or resets."""
 
     async def script(head, writer):
         writer.write(
@@ -229,7 +229,7 @@
 
 
 class MemorySink:
-    """Keeps what a caller would get."""
+    """Records what a caller would receive."""
 
     def __init__(self):
         self.status = None
@@ -256,13 +256,13 @@
 
 
 class Parts:
-    """An instance's parts around a relay, over real sockets to endpoints."""
+    """The components around a relay, with real sockets to endpoints."""
 
     def __init__(self, sessions):
         self.timers = timer_service.LoopTimers()
         self.dialect = platform_dialect.PlatformDialect()
         self.directory = directories.Directory(self.timers)
-        self.book = jobtracker.JobTracker()
+        self.job_tracker = jobtracker.JobTracker()
         self.health = healths.Health("osu-hall")
         self.metrics = metric_store.Metrics()
         self.lifecycle = lifecycles.InstanceLifecycle()
@@ -275,7 +275,7 @@
             "i1",
             "s1",
             "osu-hall",
-            self.book,
+            self.job_tracker,
             self.health,
             self.subsets,
             table,
@@ -290,10 +290,10 @@
             self.timers,
             self.metrics,
         )
-        self.rests = cooldowns.Cooldowns(self.metrics)
+        self.cooldowns = cooldowns.Cooldowns(self.metrics)
         self.placer = placers.Placer(
             self.directory,
-            self.book,
+            self.job_tracker,
             self.health,
             self.updates,
             candidates.Candidates(
@@ -301,19 +301,23 @@
                 self.health,
                 self.subsets,
                 self.limits,
-                self.rests,
+                self.cooldowns,
                 "i1",
                 "osu-hall",
                 self.timers,
                 random.Random(1),
             ),
             self.limits,
-            self.rests,
+            self.cooldowns,
             "osu-hall",
             self.timers,
         )
         self.statements = statements.StatementHandler(
-            self.directory, self.limits, self.rests, self.timers, self.metrics
+            self.directory,
+            self.limits,
+            self.cooldowns,
+            self.timers,
+            self.metrics,
         )
         self.sessions = sessions
         self.transport = transports.EndpointTransport(sessions, self.dialect)
@@ -348,7 +352,7 @@
                 make_endpoint(number, endpoint.address, service)
             )
 
-    def make_door(self, rng):
+    def make_request_handler(self, rng):
         return requesthandler.RequestHandler(
             self.config_lease,
             self.dialect,
@@ -376,12 +380,12 @@
 
 @contextlib.asynccontextmanager
 async def open_callers(parts, table, seed=1):
-    """Lets callers in; gives the URL of the instance."""
+    """Listens for callers and yields the URL of the instance."""
     parts.lifecycle.mark_ready()
     if table is not None:
         parts.config_lease.install(table, parts.config_lease.read_clock())
-    door = parts.make_door(random.Random(seed))
-    server = web.Server(door.handle, handler_cancellation=True)
+    handler = parts.make_request_handler(random.Random(seed))
+    server = web.Server(handler.handle, handler_cancellation=True)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(server, "127.0.0.1", 0)
     port = listener.sockets[0].getsockname()[1]
--- a/rhubarblock/exchange/flow.py
+++ b/rhubarblock/exchange/flow.py
@@ -1,4 +1,4 @@
-"""One exchange on its way: what was asked, what was tried, what was given."""
+"""State of one exchange while it is served."""
 
 from rhubarblock.core import exchange as exchanges
 from rhubarblock.core import verdict as verdicts
@@ -7,7 +7,7 @@
 from rhubarblock.exchange import sink as sinks
 from rhubarblock.relay import retries
 
-# Endpoints that may refuse one exchange before it is given up.
+# Number of refusals after which an exchange fails.
 MAX_REFUSALS = 4
 
 
@@ -15,12 +15,12 @@
     """State of one exchange.
 
     Attributes:
-      exchange: what was asked.
+      exchange: the request.
       sink: the caller's side.
-      cursor: place in a stream of events.
-      progress: when the pieces of the answer came.
-      history: what the attempts said.
-      refusals: endpoints that refused it.
+      cursor: position in a stream of events.
+      progress: timing of the answer.
+      history: outcomes of the attempts so far.
+      refusals: number of refusals by endpoints.
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
     )
 
     def __init__(self, exchange: exchanges.Exchange, sink: sinks.Sink):
-        """Starts before the first attempt."""
+        """Creates the state before the first attempt."""
         self.exchange = exchange
         self.sink = sink
         self.cursor = eventcursor.EventCursor(exchange.last_event)
@@ -43,14 +43,14 @@
 
     @property
     def is_last_attempt(self) -> bool:
-        """Whether an attempt that runs now must be the last one."""
+        """Whether the present attempt is the last one allowed."""
         route = self.exchange.route
         if not route.repeatable:
             return True
         return self.history.attempts + 1 >= route.max_attempts
 
-    def may_try_again(self) -> bool:
-        """Says whether what is known of the attempts allows another one."""
+    def may_retry(self) -> bool:
+        """Returns whether the outcomes so far allow a retry."""
         route = self.exchange.route
         not_run = self.history.verdict is verdicts.Verdict.NOT_RUN
         if not route.repeatable and (self.sink.begun or not not_run):
--- a/rhubarblock/exchange/leases.py
+++ b/rhubarblock/exchange/leases.py
@@ -1,9 +1,9 @@
-"""Memory set aside at engines for a prompt that is larger than one of them.
+"""Memory leases at engines for a prompt that is too large for one of them.
 
-All engines of a prompt set their part aside, or none keeps it: nobody waits
-for memory while holding some, so two instances can't block each other. A lease
-is short and renewed while the prompt runs, so that what a lost instance held
-lapses by itself. On every way out it is given back.
+Either all engines of a prompt grant their lease or none is kept: no request
+waits for a lease while it holds others, so two instances cannot deadlock.
+Leases are short and are renewed while the prompt runs, so those of a lost
+instance expire. They are released on every exit path.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.settings import exchange as settings_lib
 
-# Part of the time by which memory must be free after its request's end that a
-# lease lasts: an engine whose holder was lost gets it back in time.
-HOLD_PART = 0.85
-# Part of a lease after which it is renewed; a renewal that is lost leaves time
-# for the next.
-RENEW_PART = 0.42
-# Seconds after an order without an answer at which the memory is given back
-# once more: such an order may be carried out up to twelve seconds late.
+# Duration of a lease, as a fraction of the time within which memory must be
+# free after its request ended: the lease of a lost holder expires in time.
+HOLD_FRACTION = 0.85
+# Fraction of its duration after which a lease is renewed; if one renewal is
+# lost, the next is still in time.
+RENEW_FRACTION = 0.42
+# Seconds after a request without an answer at which the lease is released
+# again: the engine may carry out such a request up to twelve seconds late.
 LATE_RELEASES_S = (2.5, 5.0, 8.0, 12.5)
 
 _logger = logging.getLogger(__name__)
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Lease:
-    """Memory of one engine.
+    """A memory lease at one engine.
 
     Attributes:
       endpoint: the engine.
-      lease_id: names it; unique over all instances and attempts.
-      tokens: how much.
+      lease_id: id, unique over all instances and attempts.
+      tokens: amount of memory in tokens.
     """
 
     endpoint: lists.ListedEndpoint
@@ -51,10 +51,10 @@
 
 
 class LeaseError(failures.FailureError):
-    """An engine did not set memory aside; nothing was sent to run.
+    """An engine did not grant a lease; the exchange was not sent.
 
     Attributes:
-      endpoint_id: the engine.
+      endpoint_id: id of the engine.
     """
 
     def __init__(self, endpoint_id: str):
@@ -69,7 +69,7 @@
 
 
 class LeaseHolder:
-    """Holds the leases of one instance."""
+    """Acquires, renews and releases the leases of one instance."""
 
     __slots__ = ("_client", "_hold_s", "_statements", "_tasks", "_timers")
 
@@ -84,7 +84,9 @@
         self._client = client
         self._statements = statement_handler
         self._timers = timers
-        self._hold_s = min(HOLD_PART * bounds.lease_free_s, bounds.lease_max_s)
+        self._hold_s = min(
+            HOLD_FRACTION * bounds.lease_free_s, bounds.lease_max_s
+        )
         self._tasks: set[asyncio.Task[None]] = set()
 
     @contextlib.asynccontextmanager
@@ -92,10 +94,10 @@
         """Holds leases while the context is open.
 
         Args:
-          wanted: one for each engine; none is the usual case.
+          wanted: one lease per engine; usually none.
 
         Raises:
-          LeaseError: one could not be had.
+          LeaseError: an engine did not grant its lease.
         """
         if not wanted:
             yield
@@ -110,10 +112,12 @@
             if renewal is not None:
                 renewal.cancel()
             for lease in wanted:
-                self._start(self._give_back(lease, lease.lease_id in unsure))
+                self._start_task(
+                    self._release_reliably(lease, lease.lease_id in unsure)
+                )
 
     async def wait(self) -> None:
-        """Waits until everything is given back that has to be."""
+        """Waits until all leases are released, for a second at most."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=1.0)
 
@@ -128,15 +132,18 @@
     async def _reserve(
         self, lease: Lease, unsure: set[str]
     ) -> dialects.LeaseAnswer:
-        order = dialects.LeaseRequest(
+        request = dialects.LeaseRequest(
             lease.lease_id, lease.tokens, self._hold_s
         )
-        # Cancelled on the way, it may have been carried out all the same.
+        # If this task is cancelled, the engine may carry out the request
+        # anyway.
         was_unsure = lease.lease_id in unsure
         unsure.add(lease.lease_id)
         sent_s = self._timers.read_monotonic()
-        reply = await self._client.reserve(lease.endpoint, order)
-        self._statements.note_order(lease.endpoint, reply.statement, sent_s)
+        reply = await self._client.reserve(lease.endpoint, request)
+        self._statements.note_partial_answer(
+            lease.endpoint, reply.statement, sent_s
+        )
         answer = reply.answer
         if answer is not dialects.LeaseAnswer.UNSURE and not was_unsure:
             unsure.discard(lease.lease_id)
@@ -144,12 +151,12 @@
 
     async def _renew(self, wanted: Sequence[Lease], unsure: set[str]) -> None:
         while True:
-            await self._timers.sleep(RENEW_PART * self._hold_s)
+            await self._timers.sleep(RENEW_FRACTION * self._hold_s)
             await asyncio.gather(
                 *(self._reserve(lease, unsure) for lease in wanted)
             )
 
-    async def _give_back(self, lease: Lease, was_unsure: bool) -> None:
+    async def _release_reliably(self, lease: Lease, was_unsure: bool) -> None:
         reply = await self._release(lease)
         if reply.answer is dialects.LeaseAnswer.UNSURE:
             await self._release(lease)
@@ -164,11 +171,13 @@
     async def _release(self, lease: Lease) -> dialects.LeaseReply:
         sent_s = self._timers.read_monotonic()
         reply = await self._client.release(lease.endpoint, lease.lease_id)
-        self._statements.note_order(lease.endpoint, reply.statement, sent_s)
+        self._statements.note_partial_answer(
+            lease.endpoint, reply.statement, sent_s
+        )
         return reply
 
-    def _start(self, step: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(step)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -180,12 +189,12 @@
     statement_handler: statements.StatementHandler,
     timers: timer_service.Timers,
 ) -> AsyncIterator[LeaseHolder]:
-    """Opens a holder that gives everything back before it is closed.
+    """Opens a holder that waits for releases when it is closed.
 
     Args:
-      client: orders memory at engines.
-      bounds: how long it may be held.
-      statement_handler: hears what engines say of themselves.
+      client: sends lease requests to engines.
+      bounds: time within which memory must be free.
+      statement_handler: handles what engines state about themselves.
       timers: the clock.
     """
     holder = LeaseHolder(client, bounds, statement_handler, timers)
--- a/rhubarblock/exchange/leases_test.py
+++ b/rhubarblock/exchange/leases_test.py
@@ -1,4 +1,4 @@
-"""Memory at engines: all or none, renewed, and free on every way out."""
+"""Memory leases: all or none, renewed, and released on every exit path."""
 
 import asyncio
 
@@ -16,29 +16,29 @@
 
 
 class Engines(dialects.LeaseClient):
-    """Engines that hold leases until they lapse.
+    """Engines that hold leases until they expire.
 
     Attributes:
-      answers: what reserve orders are answered, DONE when used up.
-      late_s: delay of an order that is answered UNSURE.
+      answers: answers to reserve requests; DONE after the last one.
+      late_s: delay with which a request answered UNSURE takes effect.
     """
 
     def __init__(self, *answers, late_s=3.0):
         self.answers = list(answers)
         self.late_s = late_s
         self.until_s = {}
-        self.orders = 0
+        self.requests = 0
         self.limit = ratelimits.NO_STATED_LIMIT
 
-    async def reserve(self, endpoint, order):
-        self.orders += 1
+    async def reserve(self, endpoint, request):
+        self.requests += 1
         answer = self.answers.pop(0) if self.answers else _Answer.DONE
-        key = (endpoint.endpoint_id, order.lease_id)
+        key = (endpoint.endpoint_id, request.lease_id)
         loop = asyncio.get_running_loop()
         if answer is _Answer.DONE:
-            self._set(key, order.hold_s)
+            self._set(key, request.hold_s)
         if answer is _Answer.UNSURE:
-            loop.call_later(self.late_s, self._set, key, order.hold_s)
+            loop.call_later(self.late_s, self._set, key, request.hold_s)
         return dialects.LeaseReply(
             answer, statements.Statement(limit=self.limit)
         )
@@ -86,7 +86,7 @@
     assert run(engines, step) == (["e1", "e2"], [])
 
 
-def test_all_or_none():
+def test_refused_lease_releases_all_others():
     engines = Engines(_Answer.DONE, _Answer.REFUSED)
 
     async def step(holder, timers):
@@ -99,7 +99,7 @@
     assert run(engines, step) == ("e2", [])
 
 
-def test_cancelled_request_gives_its_memory_back():
+def test_cancelled_request_releases_its_leases():
     engines = Engines()
 
     async def step(holder, timers):
@@ -117,7 +117,7 @@
     assert run(engines, step) == []
 
 
-def test_lost_holder_frees_its_memory_within_four_seconds():
+def test_leases_of_a_lost_holder_expire_within_four_seconds():
     engines = Engines()
 
     async def step(holder, timers):
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("late_s", [2.0, 4.0, 7.0, 12.0])
-def test_order_that_is_carried_out_late_is_undone(late_s):
+def test_lease_that_is_granted_late_is_released(late_s):
     engines = Engines(_Answer.UNSURE, late_s=late_s)
 
     async def step(holder, timers):
@@ -145,17 +145,17 @@
     assert run(engines, step)
 
 
-def test_usual_prompt_needs_no_order():
+def test_prompt_without_leases_sends_no_request():
     engines = Engines()
 
     async def step(holder, timers):
         async with holder.hold([]):
-            return engines.orders
+            return engines.requests
 
     assert run(engines, step) == 0
 
 
-def test_limit_that_an_engine_names_beside_an_order_is_heard():
+def test_rate_limit_in_a_lease_answer_is_recorded():
     engines = Engines()
     engines.limit = ratelimits.StatedLimit(2.0)
 
@@ -169,7 +169,7 @@
             named = limits.find_rate("e1")
             engines.limit = ratelimits.NO_STATED_LIMIT
             await timers.sleep(10.0)
-            # Only answers to requests tell that a limit ended.
+            # Only answers to exchanges end a limit.
             return named, limits.find_rate("e1")
 
     assert virtualloop.run(main()) == (2.0, 2.0)
--- a/rhubarblock/exchange/lines_test.py
+++ b/rhubarblock/exchange/loglines_test.py
@@ -1,4 +1,4 @@
-"""The lines that tell an exchange's story."""
+"""Log lines of an exchange."""
 
 import asyncio
 import logging
@@ -13,7 +13,7 @@
 
 
 class Lines(logging.Handler):
-    """Keeps what was logged."""
+    """Records log lines."""
 
     def __init__(self):
         super().__init__()
@@ -47,7 +47,7 @@
     asyncio.run(main())
 
 
-def tell(records):
+def summarise(records):
     return [
         (
             record.message if hasattr(record, "message") else record.msg,
@@ -58,16 +58,16 @@
     ]
 
 
-def test_request_that_was_served_leaves_two_lines(lines):
+def test_served_request_logs_two_lines(lines):
     serve(fakes.whole(b"ok"))
-    assert tell(lines) == [("placed", "DEBUG"), ("served", "DEBUG")]
+    assert summarise(lines) == [("placed", "DEBUG"), ("served", "DEBUG")]
     assert lines[-1].failed_attempts == 0
     assert lines[-1].parts == 1
 
 
-def test_attempt_that_failed_stands_between_two_places(lines):
+def test_failed_attempt_is_logged_between_two_placements(lines):
     serve(FAILS, FAILS)
-    assert tell(lines) == [
+    assert summarise(lines) == [
         ("placed", "DEBUG"),
         ("attempt ended", "INFO"),
         ("placed", "DEBUG"),
@@ -75,7 +75,7 @@
     ]
 
 
-def test_exchange_without_a_place_is_not_told_as_placed(lines):
+def test_exchange_without_an_endpoint_is_not_logged_as_placed(lines):
     with pytest.raises(failures.FailureError):
         serve()
-    assert tell(lines) == []
+    assert summarise(lines) == []
--- a/rhubarblock/exchange/outcomes.py
+++ b/rhubarblock/exchange/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: health, retry budget, counters, logs."""
+"""Records how attempts end: health, retry budgets, metrics and logs."""
 
 from collections.abc import Callable
 import logging
@@ -9,8 +9,8 @@
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.exchange import attempts
 from rhubarblock.exchange import flow as flows
-from rhubarblock.exchange import places
-from rhubarblock.exchange import silence
+from rhubarblock.exchange import placements
+from rhubarblock.exchange import stalls
 from rhubarblock.exchange import transport as transports
 from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.kernel import metrics as metric_store
@@ -19,9 +19,9 @@
 from rhubarblock.routing import health as healths
 from rhubarblock.settings import exchange as settings_lib
 
-# Part of the repeats allowed to all instances that they share among them; the
-# rest is for those that count fewer peers than there are.
-SLACK_PART = 0.8
+# Fraction of the retries allowed to all instances that they divide among them.
+# The remainder covers instances that count too few peers.
+SLACK_FRACTION = 0.8
 # Upper bounds of the bands of prompt lengths, in tokens.
 BANDS = ((16_000, "short"), (120_000, "middle"), (450_000, "long"))
 
@@ -29,7 +29,7 @@
 
 
 class OutcomeRecorder:
-    """Learns from the attempts of one instance."""
+    """Records the outcomes of attempts of one instance."""
 
     __slots__ = (
         "_bounds",
@@ -50,13 +50,14 @@
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
     ):
-        """Starts with nothing learned.
+        """Starts with empty retry budgets.
 
         Args:
-          health: takes what attempts met.
-          updates: tells peers of endpoints that broke.
-          count_instances: how many share what may be repeated in any case.
-          bounds: how much may be repeated.
+          health: circuit breakers of endpoints.
+          updates: announces unreachable endpoints to peers.
+          count_instances: returns the number of instances that share the retry
+            slack.
+          bounds: limits of retries.
           timers: the clock.
           metrics: counters.
         """
@@ -69,18 +70,18 @@
         self._budgets: dict[str, retrybudget.RetryBudget] = {}
 
     def grant(self, exchange: exchanges.Exchange) -> bool:
-        """Takes another attempt from the budget of the exchange's service."""
+        """Takes a retry from the budget of the exchange's service."""
         granted = self._budget(exchange).try_spend()
         name = "exchange.retries" if granted else "exchange.retries_denied"
         self._metrics.count(name)
         return granted
 
     def note_waiting(self, flow: flows.Flow, start_s: float) -> None:
-        """Takes in that an exchange had better begin later.
+        """Records that the start of an exchange is delayed.
 
         Args:
           flow: the exchange.
-          start_s: seconds until then, as predicted now.
+          start_s: predicted delay in seconds.
         """
         self._metrics.count("exchange.waited")
         exchange = flow.exchange
@@ -93,15 +94,19 @@
             },
         )
 
-    def note_placed(self, flow: flows.Flow, place: places.Place) -> None:
-        """Takes in where an attempt goes."""
+    def note_placed(
+        self, flow: flows.Flow, placement: placements.Placement
+    ) -> None:
+        """Records the placement of an attempt."""
         self._metrics.count("exchange.placed")
         _logger.debug(
             "placed",
             extra={
-                **self._describe(flow, place),
-                "engines": [e.endpoint_id for e in place.helper_engines],
-                "leased_tokens": sum(lease.tokens for lease in place.held),
+                **self._describe(flow, placement),
+                "engines": [e.endpoint_id for e in placement.helper_engines],
+                "leased_tokens": sum(
+                    lease.tokens for lease in placement.held_leases
+                ),
                 "prompt_tokens": flow.exchange.prompt_tokens,
                 "begun": flow.sink.begun,
                 "left_s": round(
@@ -110,8 +115,10 @@
             },
         )
 
-    def note_served(self, flow: flows.Flow, place: places.Place) -> None:
-        """Takes in a whole answer."""
+    def note_served(
+        self, flow: flows.Flow, placement: placements.Placement
+    ) -> None:
+        """Records a complete answer."""
         exchange = flow.exchange
         self._budget(exchange).record_success()
         self._metrics.count("exchange.served")
@@ -124,7 +131,7 @@
             logging.INFO if is_late else logging.DEBUG,
             "served late" if is_late else "served",
             extra={
-                **self._describe(flow, place),
+                **self._describe(flow, placement),
                 "prompt_tokens": exchange.prompt_tokens,
                 "first_s": round(first_s, 3),
                 "longest_pause_s": round(flow.progress.longest_pause_s, 3),
@@ -137,57 +144,57 @@
     def note_refused(
         self,
         flow: flows.Flow,
-        place: places.Place,
+        placement: placements.Placement,
         failure: failures.Failure,
         blamed_id: str,
-        rest_s: float | None = None,
+        cooldown_s: float | None = None,
     ) -> None:
-        """Takes in that an endpoint did not run an exchange.
+        """Records that an endpoint did not run an exchange.
 
         Args:
           flow: the exchange.
-          place: where it went.
-          failure: why it ended.
-          blamed_id: the endpoint that refused, which is avoided from now on; a
-            plan of many engines is not given up for one of them.
-          rest_s: seconds for which it wants nothing, None if it named none.
+          placement: where it was sent.
+          failure: why the attempt ended.
+          blamed_id: the endpoint that refused. Only this one is avoided from
+            now on, not all engines of a split prompt.
+          cooldown_s: cool-down in seconds, None if it stated none.
         """
         self._metrics.count("exchange.refused")
-        self._log(flow, place, failure, "refused", blamed_id, rest_s)
+        self._log(flow, placement, failure, "refused", blamed_id, cooldown_s)
         flow.refusals += 1
         flow.history.note_failure(failure, blamed_id)
 
     def note_failed(
         self,
         flow: flows.Flow,
-        place: places.Place,
+        placement: placements.Placement,
         error: transports.AttemptError,
     ) -> None:
-        """Takes in an attempt that failed, or was given up."""
+        """Records an attempt that failed or was abandoned."""
         failure = error.failure
-        endpoint = place.endpoint
+        endpoint = placement.endpoint
         if failure.verdict is not verdicts.Verdict.NOT_RUN:
             flow.history.attempts += 1
         flow.history.note_failure(failure, endpoint.endpoint_id)
         if isinstance(error, attempts.FailedAnswerError):
             self._metrics.count("exchange.failed_answers")
-            self._log(flow, place, failure, "failed")
+            self._log(flow, placement, failure, "failed")
             self._health.note_error(endpoint.endpoint_id)
-        elif _is_left_busy(error):
+        elif _is_abandoned_as_busy(error):
             self._metrics.count("exchange.moved")
-            self._log(flow, place, failure, "moved")
+            self._log(flow, placement, failure, "moved")
         else:
             self._metrics.count("exchange.broken")
-            self._log(flow, place, failure, "broken")
+            self._log(flow, placement, failure, "broken")
             self.suspect(endpoint)
 
     def suspect(self, endpoint: lists.ListedEndpoint) -> None:
-        """Leaves an endpoint alone and tells peers that use the same way."""
+        """Marks an endpoint as suspect and tells peers in this data centre."""
         now_s = self._timers.read_monotonic()
-        is_news = self._health.note_unreachable(
+        is_new = self._health.note_unreachable(
             endpoint.endpoint_id, endpoint.data_centre, now_s
         )
-        if is_news:
+        if is_new:
             self._updates.announce_broken(
                 endpoint.endpoint_id, endpoint.data_centre
             )
@@ -206,51 +213,51 @@
         return budget
 
     def _share_slack(self) -> float:
-        """Returns the repeats that this instance may make in any case."""
-        slack = SLACK_PART * self._bounds.retry_slack
+        """Returns the retries that this instance may always make."""
+        slack = SLACK_FRACTION * self._bounds.retry_slack
         return slack / self._count_instances()
 
     def _log(
         self,
         flow: flows.Flow,
-        place: places.Place,
+        placement: placements.Placement,
         failure: failures.Failure,
         outcome: str,
         blamed_id: str = "",
-        rest_s: float | None = None,
+        cooldown_s: float | None = None,
     ) -> None:
-        """Writes why an attempt did not give its answer."""
+        """Logs why an attempt ended without its answer."""
         _logger.info(
             "attempt ended",
             extra={
-                **self._describe(flow, place),
+                **self._describe(flow, placement),
                 "outcome": outcome,
-                "blamed": blamed_id or place.endpoint.endpoint_id,
+                "blamed": blamed_id or placement.endpoint.endpoint_id,
                 "verdict": failure.verdict.value,
                 "reason": failure.message,
-                "rest_s": rest_s,
+                "rest_s": cooldown_s,
             },
         )
 
     def _describe(
-        self, flow: flows.Flow, place: places.Place
+        self, flow: flows.Flow, placement: placements.Placement
     ) -> dict[str, object]:
-        """Returns what each line about an attempt tells."""
+        """Returns the log fields that all lines about an attempt share."""
         exchange = flow.exchange
         now_s = self._timers.read_monotonic()
         return {
             **_describe_exchange(exchange),
-            "endpoint": place.endpoint.endpoint_id,
-            "data_centre": place.endpoint.data_centre,
-            "parts": 1 + len(place.helpers),
-            "expected_s": round(place.expected_s, 3),
-            "limit_per_s": place.limit_per_s,
+            "endpoint": placement.endpoint.endpoint_id,
+            "data_centre": placement.endpoint.data_centre,
+            "parts": 1 + len(placement.helpers),
+            "expected_s": round(placement.expected_s, 3),
+            "limit_per_s": placement.limit_per_s,
             "since_arrival_s": round(now_s - exchange.arrived_s, 3),
         }
 
 
 def _describe_exchange(exchange: exchanges.Exchange) -> dict[str, object]:
-    """Returns by what each line names the exchange that it is about."""
+    """Returns the log fields that identify an exchange."""
     return {
         "request": exchange.request_id,
         "route": exchange.route.name,
@@ -259,7 +266,7 @@
 
 
 def _name_kind(exchange: exchanges.Exchange) -> str:
-    """Returns the kind of an exchange, with a band of its prompt's length."""
+    """Returns the route kind, with the band of the prompt's length."""
     kind = exchange.route.kind.value
     if not exchange.prompt_tokens:
         return kind
@@ -270,8 +277,8 @@
     return f"{kind}.{band}"
 
 
-def _is_left_busy(error: transports.AttemptError) -> bool:
+def _is_abandoned_as_busy(error: transports.AttemptError) -> bool:
     return (
-        isinstance(error, attempts.LeftError)
-        and error.reason is silence.Reason.BUSY
+        isinstance(error, attempts.AbandonedError)
+        and error.reason is stalls.Reason.BUSY
     )
--- a/rhubarblock/exchange/peering/__init__.py
+++ b/rhubarblock/exchange/peering/__init__.py
@@ -1,5 +1,5 @@
-"""The other instances, and what instances tell each other.
+"""The other instances, and the messages between instances.
 
-Others use ``table`` (who is there) and ``updates`` (datagrams about placed
-work).
+``table`` holds the known peers, ``updates`` exchanges datagrams about placed
+work, and ``limitupdates`` those about rate limits and permits.
 """
--- a/rhubarblock/exchange/peering/limitupdates.py
+++ b/rhubarblock/exchange/peering/limitupdates.py
@@ -1,6 +1,7 @@
-"""Carries the limits of endpoints and permits between instances.
+"""Exchanges rate limits of endpoints and permits between instances.
 
-They go as datagrams beside other news: what is lost is asked for again.
+They are sent as datagrams on the channel of other peer updates. Lost permits
+are requested again.
 """
 
 from collections.abc import Callable
@@ -19,9 +20,9 @@
 
 
 class DatagramLimitPeers(limitpeers.LimitPeers):
-    """The other instances, reached through the news of this one.
+    """The other instances, reached through peer updates.
 
-    A peer is named by the address of its datagrams, ``host:port``.
+    A peer is identified by the address of its datagrams, ``host:port``.
     """
 
     __slots__ = (
@@ -42,14 +43,14 @@
         data_centre: str,
         timers: timer_service.Timers,
     ):
-        """Creates peers over what is known of them.
+        """Creates a view of the known peers.
 
         Args:
           updates: sends and receives datagrams.
           table: the other instances.
           subsets_: which instances use which endpoints.
           own_id: name of this instance.
-          data_centre: where it runs.
+          data_centre: data centre of this instance.
           timers: the clock.
         """
         self._updates = updates
@@ -66,10 +67,10 @@
         now_s = self._timers.read_monotonic()
         best = rendezvous.compute_score(endpoint_id, self._own_id), ""
         for address, peer in self._list_users(endpoint_id):
-            name = _name(address)
+            name = _format_address(address)
             if name in silent or not peer.instance_id:
                 continue
-            if peer.is_alive(now_s, peer_table.FAR_GREETINGS):
+            if peer.is_alive(now_s, peer_table.FAR_HEARTBEATS):
                 score = rendezvous.compute_score(endpoint_id, peer.instance_id)
                 best = max(best, (score, name))
         return best[1]
@@ -82,7 +83,7 @@
             _to_ms(request.free_in_s),
             _to_ms(request.within_s),
         ]
-        self._updates.send_to(_parse(peer), fields)
+        self._updates.send_to(_parse_address(peer), fields)
 
     def send_grant(self, peer: str, grant: messages.PermitGrant) -> None:
         fields = [
@@ -93,11 +94,11 @@
             _to_ms(grant.spacing_s),
             _to_ms(grant.retry_after_s),
         ]
-        self._updates.send_to(_parse(peer), fields)
+        self._updates.send_to(_parse_address(peer), fields)
 
     def send_report(self, peer: str, report: messages.LimitReport) -> None:
         fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
-        self._updates.send_to(_parse(peer), fields)
+        self._updates.send_to(_parse_address(peer), fields)
 
     def broadcast_report(self, report: messages.LimitReport) -> None:
         fields = [peer_updates.LIMIT_REPORT, *_encode_report(report)]
@@ -107,7 +108,7 @@
     def _list_users(
         self, endpoint_id: str
     ) -> list[tuple[peer_table.Address, peer_table.Peer]]:
-        """Returns the peers that use an endpoint; one that is unknown may."""
+        """Returns the peers that use an endpoint or are unidentified."""
         uses = self._subsets.make_filter((endpoint_id,))
         return [
             (address, peer)
@@ -119,8 +120,8 @@
 def connect(
     updates: peer_updates.PeerUpdates, limits: endpointlimits.EndpointLimits
 ) -> None:
-    """Lets limits hear what peers tell."""
-    steps: dict[str, Callable[[list[Any], str], None]] = {
+    """Connects limits to the messages of peers."""
+    handlers: dict[str, Callable[[list[Any], str], None]] = {
         peer_updates.LIMIT_REPORT: lambda fields, peer: limits.receive_report(
             _read_report(fields)
         ),
@@ -131,15 +132,17 @@
             peer, _read_grant(fields)
         ),
     }
-    for code, step in steps.items():
-        updates.listen(code, _make_listener(step))
-    updates.on_start = lambda address: limits.send_limits(_name(address))
+    for code, handler in handlers.items():
+        updates.listen(code, _make_listener(handler))
+    updates.on_start = lambda address: limits.send_limits(
+        _format_address(address)
+    )
 
 
 def _make_listener(
-    step: Callable[[list[Any], str], None],
+    handler: Callable[[list[Any], str], None],
 ) -> peer_updates.Listener:
-    return lambda fields, address: step(fields, _name(address))
+    return lambda fields, address: handler(fields, _format_address(address))
 
 
 def _encode_report(report: messages.LimitReport) -> list[Any]:
@@ -172,25 +175,25 @@
 
 
 def _read_grant(fields: list[Any]) -> messages.PermitGrant:
-    endpoint_id, count, delay_ms, spacing_ms, again_ms = fields
+    endpoint_id, count, delay_ms, spacing_ms, retry_after_ms = fields
     return messages.PermitGrant(
         str(endpoint_id),
         int(count),
         delay_ms / _MS_PER_S,
         spacing_ms / _MS_PER_S,
-        again_ms / _MS_PER_S,
+        retry_after_ms / _MS_PER_S,
     )
 
 
 def _to_ms(seconds: float) -> float:
-    """Returns milliseconds, to the microsecond."""
+    """Returns milliseconds, rounded to the microsecond."""
     return round(seconds * _MS_PER_S, 3)
 
 
-def _name(address: peer_table.Address) -> str:
+def _format_address(address: peer_table.Address) -> str:
     return "{}:{}".format(*address)
 
 
-def _parse(peer: str) -> peer_table.Address:
+def _parse_address(peer: str) -> peer_table.Address:
     host, _, port = peer.rpartition(":")
     return host, int(port)
--- a/rhubarblock/exchange/peering/limitupdates_test.py
+++ b/rhubarblock/exchange/peering/limitupdates_test.py
@@ -1,4 +1,4 @@
-"""Limits and permits over real datagrams."""
+"""Rate limits and permits over real datagrams."""
 
 import asyncio
 import random
@@ -15,8 +15,8 @@
 NAMED = ratelimits.StatedLimit(50.0)
 
 
-class End(updates_test.End):
-    """An instance's news with its limits."""
+class Node(updates_test.Node):
+    """A node that also has rate limits."""
 
     def __init__(self, name):
         super().__init__(name)
@@ -36,7 +36,7 @@
 
 def run(step):
     async def main():
-        first, second = End("i1"), End("i2")
+        first, second = Node("i1"), Node("i2")
         async with (
             first.updates.open("127.0.0.1", 0),
             second.updates.open("127.0.0.1", 0),
@@ -52,7 +52,7 @@
     return end.limits.find_rate("e1")
 
 
-def test_peer_hears_of_a_limit_and_of_its_end():
+def test_peer_receives_a_limit_and_its_end():
     async def step(first, second):
         first.limits.note_answer("e1", NAMED, 0.0)
         await updates_test.wait_for(lambda: find_rate(second) == 50.0)
@@ -63,18 +63,18 @@
     run(step)
 
 
-def test_both_get_permits_from_the_coordinator_that_both_choose():
+def test_both_instances_choose_the_same_coordinator_and_get_permits():
     async def step(first, second):
         first.limits.note_answer("e1", NAMED, 0.0)
-        needy = [fakes.make_endpoint(1)]
+        limited = [fakes.make_endpoint(1)]
         await updates_test.wait_for(lambda: find_rate(second))
         chosen = [
             end.net_peers.choose_coordinator("e1", set()) or end.name
             for end in (first, second)
         ]
         for end in (first, second):
-            while not end.limits.select_open(needy):
-                end.limits.ask(needy, "q1", 1.0)
+            while not end.limits.select_open(limited):
+                end.limits.ask(limited, "q1", 1.0)
                 await asyncio.sleep(0.005)
         return chosen
 
@@ -82,7 +82,7 @@
     assert first == second
 
 
-def test_coordinator_that_is_silent_is_not_chosen():
+def test_silent_coordinator_is_not_chosen():
     async def step(first, second):
         peers = first.net_peers
         return (
@@ -93,7 +93,7 @@
     assert run(step) == (2, "")
 
 
-def test_peer_that_starts_is_told_of_limits():
+def test_peer_that_starts_receives_the_limits():
     async def step(first, second):
         report = messages.LimitReport("e1", 3.0, 1.0, 1.0)
         first.limits.receive_report(report)
@@ -103,7 +103,7 @@
     run(step)
 
 
-def test_datagram_that_cannot_be_read_is_left_out():
+def test_malformed_limit_datagrams_are_ignored():
     async def step(first, second):
         for fields in ([1], ["e1", "x", 0, 0], ["e1", 2.0], [None, None]):
             first.updates.send_to(second.address, ["l", *fields])
--- a/rhubarblock/exchange/peering/table.py
+++ b/rhubarblock/exchange/peering/table.py
@@ -1,9 +1,10 @@
-"""The other instances, as far as this one heard of them.
+"""The other instances that this one knows.
 
-They are found through the store's list and by their own datagrams. Who has been
-silent counts as gone; among those of a data centre the one whose machine can
-carry most reads the store for the others: a reader answers all of them, and a
-small link would be full of these answers when its callers need it.
+Peers are discovered from the store's list and from their own datagrams. One
+that has been silent counts as dead. In each data centre, the live instance with
+the largest machine is the reader: it reads the store for the others. A reader
+answers all of them, and these answers would saturate a small link that its
+callers need.
 """
 
 from collections.abc import Callable
@@ -14,23 +15,23 @@
 from rhubarblock.fleet import rendezvous
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds after which an instance that has been silent is not told any more:
-# longer than any cut that is to heal without a new listing.
-SILENT_S = 60.0
-# Seconds after its last sign from which a peer counts as alive no more: two
-# signs and some delay. One that is gone sooner gives no answer when asked.
+# Seconds of silence after which an instance is forgotten: longer than any
+# network cut that must heal without a new list.
+FORGET_AFTER_S = 60.0
+# Seconds of silence after which a peer counts as dead: two heartbeat intervals
+# and some delay. A peer that dies earlier just doesn't answer requests.
 ALIVE_S = 13.0
-# Seconds for which a peer is not asked again that gave no state.
-DISTRUST_S = 3.0
-# Most peers that are asked for state while the store can't be reached.
-MOST_ASKED = 4
-# Seconds between two signs of life of an instance that has nothing to tell, to
-# peers that may choose it as their reader, and how many of these go by between
-# two to others, which only need to know that it is there.
-GREETING_S = 6.0
-FAR_GREETINGS = 4
-# Most instances that ask one reader of the store, so that its answers leave
-# its processor to its own callers.
+# Seconds for which a peer that served no state is not polled again.
+BACKOFF_S = 3.0
+# Number of peers that are polled for state while the store is unreachable.
+MAX_POLLED_PEERS = 4
+# Heartbeat interval in seconds to peers that may choose this instance as their
+# reader. Other peers only need to know that it exists and get one in
+# FAR_HEARTBEATS heartbeats.
+HEARTBEAT_S = 6.0
+FAR_HEARTBEATS = 4
+# Largest number of instances per reader, so that its answers leave enough
+# processor time for its own callers.
 READER_PEERS = 64
 
 Address = tuple[str, int]
@@ -41,36 +42,36 @@
     """Another instance.
 
     Attributes:
-      heard_s: when it last spoke, in monotonic seconds.
-      instance_id: its name; empty before it told.
-      source: names the start of it that spoke last; empty before it told.
-      data_centre: where it runs; empty before it told.
-      capacity: what its machine can carry; nothing before it told.
-      distrusted_until_s: until when its state is not relied on.
+      last_seen_s: time of its last datagram, in monotonic seconds.
+      instance_id: its name; empty until known.
+      source: id of its latest known start; empty until known.
+      data_centre: its data centre; empty until known.
+      capacity: capacity of its machine; unknown at first.
+      backoff_until_s: until when it is not polled for state.
     """
 
-    heard_s: float
+    last_seen_s: float
     instance_id: str = ""
     source: str = ""
     data_centre: str = ""
     capacity: capacities.Capacity = capacities.UNKNOWN
-    distrusted_until_s: float = 0.0
+    backoff_until_s: float = 0.0
 
-    def is_alive(self, now_s: float, greetings: int = 1) -> bool:
-        """Says whether it spoke lately.
+    def is_alive(self, now_s: float, heartbeats: int = 1) -> bool:
+        """Returns whether it sent a datagram lately.
 
         Args:
           now_s: monotonic seconds.
-          greetings: how many greetings of others go by between two of it.
+          heartbeats: expected interval between its datagrams, in heartbeats.
         """
-        return now_s - self.heard_s <= ALIVE_S * greetings
+        return now_s - self.last_seen_s <= ALIVE_S * heartbeats
 
 
 Filter = Callable[[Address, Peer], bool]
 
 
 class PeerTable:
-    """The peers of one instance, by the address of their datagrams."""
+    """The peers of one instance, by datagram address."""
 
     __slots__ = (
         "_capacity",
@@ -88,13 +89,13 @@
         timers: timer_service.Timers,
         capacity: capacities.Capacity = capacities.UNKNOWN,
     ):
-        """Starts without peers.
+        """Creates an empty table.
 
         Args:
           own_id: name of this instance.
-          data_centre: where it runs.
+          data_centre: data centre of this instance.
           timers: the clock.
-          capacity: what its machine can carry.
+          capacity: capacity of its machine.
         """
         self._capacity = capacity
         self._own_id = own_id
@@ -103,16 +104,16 @@
         self._own: Address = ("", 0)
         self._peers: dict[Address, Peer] = {}
 
-    def set_own(self, address: Address) -> None:
-        """Takes in the address of this instance, which is no peer."""
+    def set_own_address(self, address: Address) -> None:
+        """Sets the address of this instance, which is not a peer."""
         self._own = address
 
     def find(self, address: Address) -> Peer | None:
-        """Returns the peer at an address, if it is known."""
+        """Returns the peer at an address, or None if it is unknown."""
         return self._peers.get(address)
 
-    def note_unknown(self, address: Address) -> Peer:
-        """Takes in a peer whose name is not known yet."""
+    def add_unknown(self, address: Address) -> Peer:
+        """Adds a peer whose name is not known yet."""
         peer = Peer(self._timers.read_monotonic())
         self._peers[address] = peer
         return peer
@@ -125,45 +126,45 @@
         data_centre: str = "",
         capacity: capacities.Capacity = capacities.UNKNOWN,
     ) -> None:
-        """Takes in an instance that the store lists.
+        """Adds an instance that the store lists.
 
         It counts as alive at first, so that instances which start together
-        agree on who reads the store before they heard of each other.
+        agree on the reader before they have received datagrams from each other.
 
         Args:
           host: its address.
           port: its port.
-          instance_id: its name, if that is known.
-          data_centre: where it runs, if that is known.
-          capacity: what its machine can carry, if that is known.
+          instance_id: its name, if known.
+          data_centre: its data centre, if known.
+          capacity: capacity of its machine, if known.
         """
         if (host, port) == self._own:
             return
         peer = self._peers.get((host, port))
         if peer is None:
-            peer = self.note_unknown((host, port))
+            peer = self.add_unknown((host, port))
         if not peer.instance_id:
-            # It may have told of work before it told its name.
+            # It may have announced jobs before its first heartbeat.
             peer.instance_id = instance_id
             peer.data_centre = data_centre
             peer.capacity = capacity
 
     def count_instances(self) -> int:
-        """Returns how many instances there are, this one included."""
+        """Returns the number of instances, including this one."""
         return len(self._peers) + 1
 
     def find_reader(self) -> str | None:
-        """Returns the address of the peer that reads the store for this one.
+        """Returns the address of the reader, or None if it is this instance.
 
-        It is the one that can carry most, and of equals the first by name, of
-        those in this data centre that are alive, in a large one of the group
-        that this instance belongs to; None says that it is this one.
+        The reader is the live instance of this data centre with the largest
+        capacity; ties are broken by name. A large data centre is split into
+        groups, each with a reader of its own.
         """
         now_s = self._timers.read_monotonic()
         candidates = [
             (_rank(peer.capacity, peer.instance_id), address)
             for address, peer in self.list_group()
-            if peer.is_alive(now_s) and now_s >= peer.distrusted_until_s
+            if peer.is_alive(now_s) and now_s >= peer.backoff_until_s
         ]
         best = min(candidates, default=None)
         if best is None or best[0] > _rank(self._capacity, self._own_id):
@@ -171,13 +172,13 @@
         return "{}:{}".format(*best[1])
 
     def list_group(self) -> list[tuple[Address, Peer]]:
-        """Returns the peers among which one reads the store for all."""
+        """Returns the peers of this instance's group, which share a reader."""
         now_s = self._timers.read_monotonic()
         near = [
             (address, peer)
             for address, peer in self._peers.items()
             if peer.data_centre == self._data_centre
-            and peer.is_alive(now_s, FAR_GREETINGS)
+            and peer.is_alive(now_s, FAR_HEARTBEATS)
         ]
         groups = 1 + len(near) // READER_PEERS
         own = _find_group(self._own_id, groups)
@@ -187,57 +188,57 @@
             if _find_group(peer.instance_id, groups) == own
         ]
 
-    def distrust(self, address: str) -> None:
-        """Does not rely on a peer's state for a while."""
+    def back_off_from(self, address: str) -> None:
+        """Does not poll a peer for a while."""
         host, _, port = address.rpartition(":")
         peer = self._peers.get((host, int(port)))
         if peer is not None:
             now_s = self._timers.read_monotonic()
-            peer.distrusted_until_s = now_s + DISTRUST_S
+            peer.backoff_until_s = now_s + BACKOFF_S
 
     def list_peers(self) -> list[str]:
-        """Returns addresses of live peers.
+        """Returns addresses of live peers to poll for state.
 
-        Those of this data centre come first, and then those that spoke last.
+        Peers of this data centre come first, then the most recently seen.
         """
         now_s = self._timers.read_monotonic()
         alive = [
             (
                 peer.data_centre != self._data_centre,
-                -peer.heard_s,
+                -peer.last_seen_s,
                 "{}:{}".format(*address),
             )
             for address, peer in self._peers.items()
-            if peer.is_alive(now_s, FAR_GREETINGS)
+            if peer.is_alive(now_s, FAR_HEARTBEATS)
         ]
-        return [address for _, _, address in sorted(alive)][:MOST_ASKED]
+        return [address for _, _, address in sorted(alive)][:MAX_POLLED_PEERS]
 
     def list_known(self) -> list[tuple[Address, Peer]]:
-        """Returns the peers with their addresses, silent ones too."""
+        """Returns all peers with their addresses, dead ones too."""
         return list(self._peers.items())
 
-    def list_told(self, is_told: Filter) -> Iterator[Address]:
-        """Gives the addresses of those that are to be told something.
+    def list_recipients(self, is_recipient: Filter) -> Iterator[Address]:
+        """Yields the addresses of the peers that a filter selects.
 
-        Peers that have been silent for long are forgotten.
+        Removes peers that have been silent for long.
         """
-        oldest_s = self._timers.read_monotonic() - SILENT_S
+        oldest_s = self._timers.read_monotonic() - FORGET_AFTER_S
         for address, peer in list(self._peers.items()):
-            if peer.heard_s < oldest_s:
+            if peer.last_seen_s < oldest_s:
                 del self._peers[address]
-            elif is_told(address, peer):
+            elif is_recipient(address, peer):
                 yield address
 
 
 def _rank(
     capacity: capacities.Capacity, instance_id: str
 ) -> tuple[float, float, str]:
-    """Returns what sorts instances, the best reader first."""
+    """Returns a sort key that puts the best reader first."""
     return -capacity.link_mbps, -capacity.cores, instance_id
 
 
 def _find_group(instance_id: str, groups: int) -> int:
-    """Returns the group of an instance among those that ask one reader."""
+    """Returns the index of an instance's group."""
     if groups == 1:
         return 0
     return int(groups * rendezvous.compute_share("reader", instance_id))
--- a/rhubarblock/exchange/peering/table_test.py
+++ b/rhubarblock/exchange/peering/table_test.py
@@ -17,7 +17,7 @@
     return peer_table.PeerTable(own, data_centre, timer_service.LoopTimers(0.0))
 
 
-def test_instances_that_start_together_agree_on_a_reader_by_the_list():
+def test_instances_that_start_together_agree_on_the_listed_reader():
     async def step():
         table = make_table()
         table.add(*FIRST, "i1", "osu")
@@ -27,7 +27,7 @@
     assert run(step) == "10.0.0.1:7"
 
 
-def test_first_by_name_reads_itself():
+def test_first_by_name_is_the_reader():
     async def step():
         table = make_table("i0")
         table.add(*FIRST, "i1", "osu")
@@ -36,14 +36,14 @@
     assert run(step) is None
 
 
-def test_silent_peer_is_no_reader_and_then_forgotten():
+def test_silent_peer_is_no_reader_and_is_removed_later():
     async def step():
         table = make_table()
         table.add(*FIRST, "i1", "osu")
         seen = []
         for wait_s in (12.0, 2.0, 60.0):
             await asyncio.sleep(wait_s)
-            told = list(table.list_told(lambda address, peer: True))
+            told = list(table.list_recipients(lambda address, peer: True))
             seen.append((table.find_reader(), told))
         return seen, table.count_instances()
 
@@ -53,19 +53,19 @@
     )
 
 
-def test_distrusted_peer_is_asked_again_after_a_while():
+def test_peer_is_asked_again_after_the_backoff():
     async def step():
         table = make_table()
         table.add(*FIRST, "i1", "osu")
-        table.distrust("10.0.0.1:7")
+        table.back_off_from("10.0.0.1:7")
         before = table.find_reader()
-        await asyncio.sleep(peer_table.DISTRUST_S)
+        await asyncio.sleep(peer_table.BACKOFF_S)
         return before, table.find_reader()
 
     assert run(step) == (None, "10.0.0.1:7")
 
 
-def test_near_peers_are_asked_first_and_then_who_spoke_last():
+def test_near_peers_come_first_and_then_the_latest_seen():
     async def step():
         table = make_table()
         table.add("10.0.0.3", 7, "i3", "tema")
@@ -80,7 +80,7 @@
 def test_own_address_is_no_peer():
     async def step():
         table = make_table()
-        table.set_own(FIRST)
+        table.set_own_address(FIRST)
         table.add(*FIRST, "i2", "osu")
         return table.count_instances()
 
@@ -104,20 +104,20 @@
     assert 3 <= len(virtualloop.run(find_readers(220))) <= 4
 
 
-def test_peer_that_can_carry_most_is_the_reader():
+def test_peer_with_the_largest_capacity_is_the_reader():
     async def step():
         table = make_table()
         table.add(*FIRST, "i1", "osu")
         table.add(*SECOND, "i9", "osu")
         table.find(SECOND).capacity = capacities.Capacity(200.0, 2.0)
         large = table.find_reader()
-        table.distrust("10.0.0.2:7")
+        table.back_off_from("10.0.0.2:7")
         return large, table.find_reader()
 
     assert run(step) == ("10.0.0.2:7", "10.0.0.1:7")
 
 
-def test_of_equal_links_the_faster_machine_reads():
+def test_more_cores_break_a_tie_of_links():
     async def step():
         table = peer_table.PeerTable(
             "i1",
@@ -132,10 +132,10 @@
     assert run(step) is None
 
 
-def test_peer_that_spoke_before_it_was_listed_may_be_the_reader():
+def test_peer_seen_before_it_was_listed_may_be_the_reader():
     async def step():
         table = make_table()
-        table.note_unknown(FIRST)
+        table.add_unknown(FIRST)
         table.add(*FIRST, "i1", "osu")
         return table.find_reader()
 
--- a/rhubarblock/exchange/peering/updates.py
+++ b/rhubarblock/exchange/peering/updates.py
@@ -1,8 +1,8 @@
-"""What instances tell each other of the work that they placed.
+"""Datagrams between instances about placed work and endpoint failures.
 
-Datagrams, sent once and never confirmed: what is lost makes a prediction
-worse for a moment and nothing else. An instance that started later is known as
-soon as it speaks, and hears then what runs.
+They are sent once and never acknowledged: a lost datagram only makes a
+prediction worse for a moment. An instance that starts later is known from its
+first datagram, and then receives the running jobs.
 """
 
 import asyncio
@@ -22,40 +22,40 @@
 from rhubarblock.routing import health as healths
 from rhubarblock.routing.placement import jobtracker
 
-# Seconds after which a crash is told once more; told twice within two seconds
-# it counts once.
-TELL_AGAIN_S = 0.4
+# Seconds after which a crash is sent again; receivers count two announcements
+# within two seconds as one crash.
+RESEND_S = 0.4
 _PLACED = "p"
 _ENDED = "e"
-_GREETING = "g"
+_HEARTBEAT = "g"
 _BROKEN = "b"
 _CRASH = "c"
-# Codes of what others than this module send and take.
+# Codes of datagrams that other modules send and receive.
 LIMIT_REPORT = "l"
 PERMIT_REQUEST = "q"
 PERMIT_GRANT = "t"
 _COUNTERS = {
     _PLACED: "placed",
     _ENDED: "ended",
-    _GREETING: "greeting",
+    _HEARTBEAT: "greeting",
     _BROKEN: "broken",
     _CRASH: "crash",
     LIMIT_REPORT: "limit",
     PERMIT_REQUEST: "permit_request",
     PERMIT_GRANT: "permit_grant",
 }
-# What a listener takes: the fields after the code, and who sent them.
+# Receives the fields after the code and the address of the sender.
 Listener = Callable[[list[Any], peer_table.Address], None]
 
 _logger = logging.getLogger(__name__)
 
 
 class PeerUpdates(asyncio.DatagramProtocol):
-    """Tells peers of placed work and hears of theirs.
+    """Announces placed work to peers and receives their announcements.
 
     Attributes:
-      on_crash: called with an endpoint that crashed, and the ages of requests
-        that ran there by their digests.
+      on_crash: called with the id of an endpoint that crashed, and the ages in
+        seconds of the requests that ran there, by digest.
       on_start: called with the address of a peer that has just started.
     """
 
@@ -64,7 +64,7 @@
         own_id: str,
         start_id: str,
         data_centre: str,
-        book: jobtracker.JobTracker,
+        job_tracker: jobtracker.JobTracker,
         health: healths.Health,
         subsets_: subsets.Subsets,
         peers: peer_table.PeerTable,
@@ -72,38 +72,38 @@
         metrics: metric_store.Metrics,
         capacity: capacities.Capacity = capacities.UNKNOWN,
     ):
-        """Creates an end that is not open yet.
+        """Creates an endpoint that is not open yet.
 
         Args:
           own_id: name of this instance.
-          start_id: differs between the starts of an instance.
+          start_id: unique for each start of an instance.
           data_centre: data centre of this instance.
-          book: takes what peers placed.
-          health: takes what peers of the same data centre met.
+          job_tracker: receives jobs that peers placed.
+          health: receives failures that peers of the same data centre met.
           subsets_: which peers use which engines.
-          peers: the other instances; it learns of them here.
+          peers: the other instances; senders are added to it.
           timers: the clock.
-          metrics: counts datagrams by what they tell.
-          capacity: what the machine of this instance can carry.
+          metrics: counters of datagrams by kind.
+          capacity: capacity of this instance's machine.
         """
         self._metrics = metrics
         self._own_id = own_id
         self._prefix = f"{own_id}.{start_id}"
         self._data_centre = data_centre
-        self._greeting = [
-            _GREETING,
+        self._heartbeat = [
+            _HEARTBEAT,
             own_id,
             data_centre,
             self._prefix,
             [capacity.link_mbps, capacity.cores],
         ]
-        # Jobs of this instance that have not ended, and when they were placed.
+        # Running jobs of this instance, and when they were placed.
         self._own_jobs: dict[str, tuple[jobtracker.Job, float]] = {}
-        self._book = book
+        self._job_tracker = job_tracker
         self._health = health
         self._subsets = subsets_
         self._timers = timers
-        self._greetings = 0
+        self._heartbeats = 0
         self._peers = peers
         self._transport: asyncio.DatagramTransport | None = None
         self._listeners: dict[str, Listener] = {}
@@ -116,7 +116,7 @@
 
     @property
     def source(self) -> str:
-        """Names this start of this instance."""
+        """Id of this start of this instance."""
         return self._prefix
 
     def make_job_id(self, number: int) -> str:
@@ -125,16 +125,16 @@
 
     @contextlib.asynccontextmanager
     async def open(self, host: str, port: int) -> AsyncIterator["PeerUpdates"]:
-        """Listens while the context is open."""
+        """Opens the socket while the context is open."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
         )
         self._transport = transport
-        self._peers.set_own((host, port))
+        self._peers.set_own_address((host, port))
         try:
             with self._timers.subscribe(
-                peer_table.GREETING_S, self.send_heartbeat
+                peer_table.HEARTBEAT_S, self.send_heartbeat
             ):
                 yield self
         finally:
@@ -142,54 +142,54 @@
             transport.close()
 
     async def send_heartbeat(self) -> None:
-        """Gives a sign of life, each time only to those that may rely on it."""
-        is_for_all = self._greetings % peer_table.FAR_GREETINGS == 0
-        self._greetings += 1
+        """Sends a heartbeat, usually only to peers that share a reader."""
+        is_for_all = self._heartbeats % peer_table.FAR_HEARTBEATS == 0
+        self._heartbeats += 1
         if is_for_all:
-            self._send(self._greeting, _is_any)
+            self._broadcast(self._heartbeat, _accepts_all)
             return
         group = {address for address, _ in self._peers.list_group()}
-        self._send(
-            self._greeting,
+        self._broadcast(
+            self._heartbeat,
             lambda address, peer: address in group or not peer.instance_id,
         )
 
     def announce_placed(self, job: jobtracker.Job) -> None:
-        """Tells peers that use its engines of a job that was placed."""
+        """Announces a placed job to the peers that use its engines."""
         now_s = self._timers.read_monotonic()
         self._own_jobs[job.job_id] = (job, now_s)
-        fields = _describe_job(job, job.parts[0].prefill_s)
-        self._send(fields, self._make_filter(job))
+        fields = _encode_job(job, job.parts[0].prefill_s)
+        self._broadcast(fields, self._make_filter(job))
 
     def announce_ended(self, job: jobtracker.Job) -> None:
-        """Tells the same peers that the job ended."""
+        """Announces the end of a job to the same peers."""
         self._own_jobs.pop(job.job_id, None)
-        self._send([_ENDED, job.job_id], self._make_filter(job))
+        self._broadcast([_ENDED, job.job_id], self._make_filter(job))
 
     def announce_broken(self, endpoint_id: str, data_centre: str) -> None:
-        """Tells peers of an endpoint that broke a connection or kept silent.
+        """Announces an endpoint that broke a connection or stalled.
 
-        Only those of this data centre hear of it, as they use the same way.
+        Only peers of this data centre are told, as they share its network path.
         """
-        self._send(
+        self._broadcast(
             [_BROKEN, self._data_centre, endpoint_id, data_centre],
-            self._is_near,
+            self._is_in_own_data_centre,
         )
 
     def announce_crash(self, endpoint_id: str, ages: dict[str, float]) -> None:
-        """Tells peers under which requests, by age, an endpoint crashed."""
+        """Announces a crash and the ages of the requests that ran there."""
         rounded = {digest: round(age_s, 2) for digest, age_s in ages.items()}
         fields = [_CRASH, endpoint_id, rounded]
-        # A datagram may be lost, and this one must not be.
-        self._send(fields, _is_any)
+        # Sent twice, as a datagram may be lost and this one matters.
+        self._broadcast(fields, _accepts_all)
         self._timers.call_later(
-            TELL_AGAIN_S, lambda: self._send(fields, _is_any)
+            RESEND_S, lambda: self._broadcast(fields, _accepts_all)
         )
 
     def listen(self, code: str, listener: Listener) -> None:
-        """Hands datagrams of a code to a listener.
+        """Registers a listener for datagrams with a code.
 
-        What it raises for fields that can't be read is logged here.
+        Errors that it raises for malformed fields are logged here.
         """
         self._listeners[code] = listener
 
@@ -201,9 +201,9 @@
         now_s = self._timers.read_monotonic()
         peer = self._peers.find(addr)
         if peer is None:
-            peer = self._peers.note_unknown(addr)
-            self._send_to([addr], self._greeting)
-        peer.heard_s = now_s
+            peer = self._peers.add_unknown(addr)
+            self._send_to([addr], self._heartbeat)
+        peer.last_seen_s = now_s
         self._metrics.count("news.received")
         try:
             fields = json.loads(data)
@@ -211,83 +211,94 @@
             if listener is not None:
                 listener(fields[1:], addr)
                 return
-            self._take(fields, peer, now_s)
-            if fields[0] == _GREETING:
-                self._take_greeting(fields, peer, addr, now_s)
+            self._apply(fields, peer, now_s)
+            if fields[0] == _HEARTBEAT:
+                self._apply_heartbeat(fields, peer, addr, now_s)
         except (ValueError, TypeError, IndexError) as error:
-            _logger.debug("a datagram of %s can't be read: %s", addr, error)
+            _logger.debug("unreadable datagram from %s: %s", addr, error)
 
     def error_received(self, exc: Exception) -> None:
-        _logger.debug("a datagram could not be sent: %s", exc)
+        _logger.debug("failed to send a datagram: %s", exc)
 
-    def _take(
+    def _apply(
         self, fields: list[Any], peer: peer_table.Peer, now_s: float
     ) -> None:
         if fields[0] == _PLACED:
-            _, job_id, ids, read_us, tokens, pause_ms, length, due_ms = fields
-            held = tokens + [0] * (len(ids) - len(tokens))
+            (
+                _,
+                job_id,
+                ids,
+                prefill_us,
+                tokens,
+                pause_ms,
+                length,
+                objective_ms,
+            ) = fields
+            part_tokens = tokens + [0] * (len(ids) - len(tokens))
             parts = tuple(
-                jobtracker.Part(name, read_us / 1e6, n)
-                for name, n in zip(ids, held, strict=True)
+                jobtracker.Part(name, prefill_us / 1e6, n)
+                for name, n in zip(ids, part_tokens, strict=True)
             )
             job = jobtracker.Job(
-                job_id, parts, pause_ms / 1e3, length, due_ms / 1e3
+                job_id, parts, pause_ms / 1e3, length, objective_ms / 1e3
             )
-            self._book.add(job, now_s)
+            self._job_tracker.add(job, now_s)
         elif fields[0] == _ENDED:
-            self._book.remove(fields[1])
+            self._job_tracker.remove(fields[1])
         elif fields[0] == _CRASH:
             self.on_crash(fields[1], fields[2])
         elif fields[0] == _BROKEN and fields[1] == self._data_centre:
             self._health.note_unreachable(fields[2], fields[3], now_s)
 
-    def _take_greeting(
+    def _apply_heartbeat(
         self,
         fields: list[Any],
         peer: peer_table.Peer,
         address: peer_table.Address,
         now_s: float,
     ) -> None:
-        """Learns who speaks; a new start of it runs none of the old jobs."""
-        _, peer.instance_id, peer.data_centre, source, carries = fields
-        peer.capacity = capacities.Capacity(*map(float, carries))
+        """Updates the sender's record; a new start drops its old jobs."""
+        _, peer.instance_id, peer.data_centre, source, capacity = fields
+        peer.capacity = capacities.Capacity(*map(float, capacity))
         if source == peer.source:
             return
         if peer.source:
-            self._book.remove_source(peer.source)
+            self._job_tracker.remove_source(peer.source)
         peer.source = source
-        # It may have given no state because it was not up.
-        peer.distrusted_until_s = 0.0
+        # The backoff may be due to the restart.
+        peer.backoff_until_s = 0.0
         for job, placed_s in self._own_jobs.values():
             left_s = max(0.0, job.parts[0].prefill_s - (now_s - placed_s))
-            self._send_to([address], _describe_job(job, left_s))
+            self._send_to([address], _encode_job(job, left_s))
         self.on_start(address)
 
-    def _is_near(
+    def _is_in_own_data_centre(
         self, address: peer_table.Address, peer: peer_table.Peer
     ) -> bool:
-        """Whether a peer runs in this data centre; one unknown may."""
+        """Returns whether a peer is unidentified or in this data centre."""
         del address
         return peer.data_centre in ("", self._data_centre)
 
     def _make_filter(self, job: jobtracker.Job) -> peer_table.Filter:
-        """Returns what says whether a peer uses an engine of a job.
+        """Returns a filter of the peers that use an engine of a job.
 
-        One that is unknown may.
+        It includes unidentified peers.
         """
         uses = self._subsets.make_filter(p.endpoint_id for p in job.parts)
         return lambda address, peer: (
             not peer.instance_id or uses(peer.instance_id, peer.data_centre)
         )
 
-    def _send(self, fields: list[Any], is_told: peer_table.Filter) -> None:
-        """Sends a datagram to those peers that are to be told."""
-        self._send_to(self._peers.list_told(is_told), fields)
+    def _broadcast(
+        self, fields: list[Any], is_recipient: peer_table.Filter
+    ) -> None:
+        """Sends a datagram to all peers that a filter selects."""
+        self._send_to(self._peers.list_recipients(is_recipient), fields)
 
     def _send_to(
         self, addresses: Iterable[peer_table.Address], fields: list[Any]
     ) -> None:
-        """Sends a datagram to some peers, counted once for all of them."""
+        """Sends a datagram to some peers and counts it."""
         if self._transport is None:
             return
         data = _encode(fields)
@@ -304,18 +315,18 @@
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def _describe_job(job: jobtracker.Job, prefill_s: float) -> list[Any]:
-    """Returns what is told of a job, with the reading that is left of it."""
+def _encode_job(job: jobtracker.Job, prefill_s: float) -> list[Any]:
+    """Encodes a placed job with its remaining prefill."""
     ids = [part.endpoint_id for part in job.parts]
     tokens = [part.tokens for part in job.parts]
     while tokens[-1:] == [0]:
         tokens.pop()
-    read_us = round(prefill_s * 1e6)
+    prefill_us = round(prefill_s * 1e6)
     return [
         _PLACED,
         job.job_id,
         ids,
-        read_us,
+        prefill_us,
         tokens,
         round(job.pause_s * 1e3),
         job.prompt_tokens,
@@ -323,6 +334,6 @@
     ]
 
 
-def _is_any(address: peer_table.Address, peer: peer_table.Peer) -> bool:
+def _accepts_all(address: peer_table.Address, peer: peer_table.Peer) -> bool:
     del address, peer
     return True
--- a/rhubarblock/exchange/peering/updates_test.py
+++ b/rhubarblock/exchange/peering/updates_test.py
@@ -25,10 +25,10 @@
 SUBSET_SIZE = 5
 
 
-class End:
+class Node:
     def __init__(self, name, data_centre="osu"):
         timers = timer_service.LoopTimers()
-        self.book = jobtracker.JobTracker()
+        self.job_tracker = jobtracker.JobTracker()
         self.health = healths.Health(data_centre)
         self.directory = directories.Directory(timers)
         self.peers = peer_table.PeerTable(name, data_centre, timers)
@@ -36,7 +36,7 @@
             name,
             "s1",
             data_centre,
-            self.book,
+            self.job_tracker,
             self.health,
             subsets.Subsets(self.directory, SUBSET_SIZE),
             self.peers,
@@ -51,7 +51,7 @@
 
 def run(step, second_data_centre="osu"):
     async def main():
-        first, second = End("i1"), End("i2", second_data_centre)
+        first, second = Node("i1"), Node("i2", second_data_centre)
         async with (
             first.updates.open("127.0.0.1", 0),
             second.updates.open("127.0.0.1", 0),
@@ -68,53 +68,53 @@
             await asyncio.sleep(0.001)
 
 
-def test_peer_hears_of_a_job_and_of_its_end():
+def test_peer_receives_a_job_and_its_end():
     async def step(first, second):
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: second.book.find("a").jobs)
-        job = second.book.find("a").jobs["i1.s1.1"].job
-        held = second.book.find("c").tokens
+        await wait_for(lambda: second.job_tracker.find("a").jobs)
+        job = second.job_tracker.find("a").jobs["i1.s1.1"].job
+        held = second.job_tracker.find("c").tokens
         first.updates.announce_ended(JOB)
-        await wait_for(lambda: not second.book.find("a").jobs)
-        return job, held, second.book.find("c").tokens
+        await wait_for(lambda: not second.job_tracker.find("a").jobs)
+        return job, held, second.job_tracker.find("c").tokens
 
     assert run(step) == (JOB, 700, 0)
 
 
-def test_sender_is_known_from_its_first_datagram():
+def test_sender_is_added_with_its_first_datagram():
     async def step(first, second):
         await first.updates.send_heartbeat()
         await wait_for(lambda: second.peers.count_instances() == 2)
         second.updates.announce_placed(JOB)
-        await wait_for(lambda: first.book.find("b").prefills)
+        await wait_for(lambda: first.job_tracker.find("b").prefills)
 
     run(step)
 
 
-def test_broken_endpoint_is_told_within_a_data_centre():
+def test_broken_endpoint_is_announced_within_its_data_centre_only():
     async def step(first, second):
         first.updates.announce_broken("a", "osu")
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: second.book.find("a").jobs)
+        await wait_for(lambda: second.job_tracker.find("a").jobs)
         return second.health.is_tripped("a")
 
     assert run(step)
     assert not run(step, "tema")
 
 
-def test_datagram_that_cannot_be_read_is_dropped():
+def test_malformed_datagrams_are_ignored():
     async def step(first, second):
         for data in (b"", b"[]", b"{", b'["p"]', b"[1, 2]", b"\xff"):
             first.updates._transport.sendto(data, second.address)
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: second.book.find("a").jobs)
+        await wait_for(lambda: second.job_tracker.find("a").jobs)
 
     run(step)
 
 
-def test_closed_end_tells_nobody():
+def test_closed_channel_sends_nothing():
     async def main():
-        end = End("i1")
+        end = Node("i1")
         end.updates.announce_placed(JOB)
         await end.updates.send_heartbeat()
         return end.peers.count_instances()
@@ -122,7 +122,7 @@
     assert asyncio.run(main()) == 1
 
 
-async def meet(first, second):
+async def exchange_heartbeats(first, second):
     """Makes two instances known to each other by name."""
     await first.updates.send_heartbeat()
     peer = first.peers.find(second.address)
@@ -141,17 +141,17 @@
     return jobtracker.Job(f"i1.s1.e{number}", (part,), 0.2)
 
 
-def test_peer_hears_only_of_engines_that_it_uses():
+def test_peer_receives_only_jobs_of_engines_that_it_uses():
     async def step(first, second):
         for end in (first, second):
             list_engines(end, 50)
-        await meet(first, second)
+        await exchange_heartbeats(first, second)
         for number in range(50):
             first.updates.announce_placed(make_job(number))
-        # Engines that are not listed are everybody's, so this is heard last.
+        # Every instance uses unlisted engines, so this arrives, and last.
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: second.book.find("a").jobs)
-        heard = [n for n in range(50) if second.book.find(f"e{n}").jobs]
+        await wait_for(lambda: second.job_tracker.find("a").jobs)
+        heard = [n for n in range(50) if second.job_tracker.find(f"e{n}").jobs]
         used = [
             n
             for n in range(50)
@@ -166,11 +166,11 @@
     assert 0 < len(used) < 25
 
 
-def test_far_peer_gets_each_fourth_greeting():
+def test_far_peer_gets_every_fourth_heartbeat():
     async def step(first, second):
-        await meet(first, second)
+        await exchange_heartbeats(first, second)
         heard = []
-        second.updates._take = lambda fields, peer, now_s: heard.append(
+        second.updates._apply = lambda fields, peer, now_s: heard.append(
             fields[0]
         )
         for _ in range(5):
@@ -183,21 +183,21 @@
     assert run(step, "tema") == ["g", "p"]
 
 
-def test_new_start_of_a_peer_runs_none_of_the_old_jobs():
+def test_restart_of_a_peer_drops_its_old_jobs():
     async def step(first, second):
-        await meet(first, second)
+        await exchange_heartbeats(first, second)
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: second.book.find("a").jobs)
-        first.updates._greeting[3] = "i1.s2"
+        await wait_for(lambda: second.job_tracker.find("a").jobs)
+        first.updates._heartbeat[3] = "i1.s2"
         await first.updates.send_heartbeat()
-        await wait_for(lambda: not second.book.find("a").jobs)
+        await wait_for(lambda: not second.job_tracker.find("a").jobs)
 
     run(step)
 
 
-def test_instance_that_starts_hears_what_runs():
+def test_instance_that_starts_receives_running_jobs():
     async def main():
-        first, second = End("i1"), End("i2")
+        first, second = Node("i1"), Node("i2")
         async with first.updates.open("127.0.0.1", 0):
             first.updates.announce_placed(JOB)
             ended = jobtracker.Job("i1.s1.2", JOB.parts, 0.2)
@@ -206,7 +206,7 @@
             async with second.updates.open("127.0.0.1", 0):
                 second.peers.add(*first.address)
                 await second.updates.send_heartbeat()
-                await wait_for(lambda: second.book.find("a").jobs)
-                return list(second.book.find("a").jobs)
+                await wait_for(lambda: second.job_tracker.find("a").jobs)
+                return list(second.job_tracker.find("a").jobs)
 
     assert asyncio.run(main()) == ["i1.s1.1"]
--- a/rhubarblock/exchange/permitqueue.py
+++ b/rhubarblock/exchange/permitqueue.py
@@ -1,7 +1,7 @@
-"""Whose request comes next where several wait for a permit.
+"""Fair queueing of requests that wait for a permit.
 
-Workspaces take turns at what an endpoint's rate limit leaves, however many
-requests each of them has waiting.
+Workspaces share an endpoint's rate limit round-robin, however many requests
+each of them has waiting.
 """
 
 from collections.abc import Iterator
@@ -10,14 +10,14 @@
 
 
 class PermitQueue:
-    """The workspaces that wait at one instance, by service."""
+    """The waiting workspaces of one instance, by service."""
 
     __slots__ = ("_numbers", "_passed", "_waiting")
 
     def __init__(self) -> None:
-        """Starts with nobody waiting."""
-        # Requests that wait, by workspace, and the number of the last one of
-        # the workspace that went on.
+        """Creates an empty queue."""
+        # Waiting requests by workspace, and the turn number of the request of
+        # each workspace that proceeded last.
         self._waiting: dict[str, dict[str, int]] = {}
         self._passed: dict[str, dict[str, int]] = {}
         self._numbers = itertools.count(1)
@@ -38,13 +38,13 @@
                 self._passed.pop(service, None)
 
     def is_next(self, service: str, workspace: str) -> bool:
-        """Says whether no other workspace waits that went on longer ago."""
+        """Returns whether no other waiting workspace had its turn earlier."""
         passed = self._passed.get(service, {})
         waiting = self._waiting.get(service, {})
         own = passed.get(workspace, 0)
         return all(passed.get(other, 0) >= own for other in waiting)
 
     def note_passed(self, service: str, workspace: str) -> None:
-        """Takes in that a request that waited goes on."""
+        """Records that a waiting request proceeds."""
         passed = self._passed.setdefault(service, {})
         passed[workspace] = next(self._numbers)
--- a/rhubarblock/exchange/permitqueue_test.py
+++ b/rhubarblock/exchange/permitqueue_test.py
@@ -1,4 +1,4 @@
-"""Workspaces take turns at permits."""
+"""Round-robin order of workspaces that wait for permits."""
 
 import contextlib
 
@@ -6,7 +6,7 @@
 
 
 def play(waiting, turns):
-    """Lets workspaces with so many requests each go on, one at a time."""
+    """Lets waiting requests proceed one at a time; returns their workspaces."""
     queue = permitqueue.PermitQueue()
     order = []
     with contextlib.ExitStack() as stack:
@@ -24,11 +24,11 @@
     assert play({"a": 50, "b": 1, "c": 2}, 6) == ["a", "b", "c"] * 2
 
 
-def test_one_that_waits_alone_is_always_next():
+def test_workspace_that_waits_alone_is_always_next():
     assert play({"a": 3}, 3) == ["a"] * 3
 
 
-def test_services_and_those_that_left_do_not_hold_others_up():
+def test_other_services_and_departed_workspaces_do_not_block():
     queue = permitqueue.PermitQueue()
     with queue.wait("desk", "a"):
         queue.note_passed("desk", "a")
--- a/rhubarblock/exchange/places.py
+++ b/rhubarblock/exchange/placements.py
@@ -1,4 +1,4 @@
-"""Where one attempt of an exchange goes."""
+"""The endpoint, helpers and memory leases of one attempt."""
 
 import dataclasses
 
@@ -7,48 +7,50 @@
 from rhubarblock.exchange import leases
 from rhubarblock.routing.placement import prompt as prompts
 
-# Seconds that an answer of a plain service is expected to take at first.
+# Expected time in seconds to the first byte of a plain service.
 SERVICE_S = 0.1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
-    """Where one attempt goes.
+class Placement:
+    """Where one attempt is sent.
 
     Attributes:
       endpoint: the endpoint that is asked.
-      helpers: engines that read parts of the prompt.
-      helper_engines: these engines, in the same order.
-      held: memory that must be set aside before it is sent.
-      expected_s: seconds until the first byte, as predicted.
-      urgency: rank at an engine; None leaves the usual one.
-      limit_per_s: rate limit that the endpoint is known to name, in requests a
-        second; None without one.
+      helpers: engines that prefill parts of the prompt.
+      helper_engines: endpoints of the helpers, in the same order.
+      held_leases: memory leases to acquire before the attempt is sent.
+      expected_s: predicted seconds to the first byte.
+      urgency: rank at an engine; None keeps the default.
+      limit_per_s: known rate limit of the endpoint in requests per second; None
+        without one.
     """
 
     endpoint: lists.ListedEndpoint
     helpers: tuple[dialects.Helper, ...] = ()
     helper_engines: tuple[lists.ListedEndpoint, ...] = ()
-    held: tuple[leases.Lease, ...] = ()
+    held_leases: tuple[leases.Lease, ...] = ()
     expected_s: float = SERVICE_S
     urgency: int | None = None
     limit_per_s: float | None = None
 
     def find_helper(self, address: str) -> lists.ListedEndpoint | None:
-        """Returns the helper at an address, if there is one."""
+        """Returns the helper at an address, or None."""
         found = (e for e in self.helper_engines if e.address == address)
         return next(found, None)
 
 
-def make_place(choice: prompts.Choice, limit_per_s: float | None) -> Place:
-    """Returns the place of a choice, with the memory that helpers hold.
+def make_placement(
+    choice: prompts.Choice, limit_per_s: float | None
+) -> Placement:
+    """Returns the placement of a choice, with leases for its helpers.
 
     Args:
-      choice: where a prompt goes.
-      limit_per_s: rate limit of its first engine, None without one.
+      choice: engines that were chosen for a prompt.
+      limit_per_s: rate limit of the first engine, None without one.
     """
     helpers = []
-    held = []
+    held_leases = []
     job = choice.job
     for number in range(1, len(job.parts)):
         engine = choice.engines[number]
@@ -56,13 +58,13 @@
         lease_id = ""
         if tokens:
             lease_id = f"{job.job_id}.{number}"
-            held.append(leases.Lease(engine, lease_id, tokens))
+            held_leases.append(leases.Lease(engine, lease_id, tokens))
         helpers.append(dialects.Helper(engine.address, lease_id))
-    return Place(
+    return Placement(
         choice.engines[0],
         tuple(helpers),
         choice.engines[1:],
-        tuple(held),
+        tuple(held_leases),
         choice.expected_s,
         limit_per_s=limit_per_s,
     )
--- a/rhubarblock/exchange/progress.py
+++ b/rhubarblock/exchange/progress.py
@@ -1,13 +1,13 @@
-"""When the pieces of an answer came."""
+"""Measures when the pieces of an answer were forwarded."""
 
 from rhubarblock.core import exchange as exchanges
 
 
 class Progress:
-    """Moments of one exchange, in seconds since its arrival.
+    """Timing of one exchange, in seconds since its arrival.
 
     Attributes:
-      first_s: when the first piece was passed on; None before.
+      first_s: when the first piece was forwarded; None before.
       longest_pause_s: longest time between two pieces.
     """
 
@@ -21,7 +21,7 @@
         self.longest_pause_s = 0.0
 
     def note_piece(self, now_s: float) -> None:
-        """Takes in that a piece was passed on."""
+        """Records that a piece was forwarded."""
         since_s = now_s - self._arrived_s
         if self.first_s is None:
             self.first_s = since_s
@@ -31,7 +31,7 @@
         self._last_s = since_s
 
     def is_late(self, exchange: exchanges.Exchange) -> bool:
-        """Says whether the caller got less than the route aims for."""
+        """Returns whether the answer missed the route's objectives."""
         route = exchange.route
         if self.first_s is None or self.first_s > route.objective_s:
             return True
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -1,8 +1,8 @@
-"""An exchange's way through an instance, from its place to its last byte.
+"""Serves one exchange: places it, sends it and retries it.
 
-It is written straight down: place, try, and after a failure either once more
-elsewhere or a final answer, at once. Whether it may be sent once more follows
-from its route and from what is known of the attempts so far.
+The relay places the exchange and makes an attempt. If the attempt fails, it
+either retries at another endpoint or raises the final error at once. The route
+and the verdicts of the earlier attempts decide whether a retry is allowed.
 """
 
 import asyncio
@@ -18,24 +18,24 @@
 from rhubarblock.exchange import leases
 from rhubarblock.exchange import outcomes
 from rhubarblock.exchange import permitqueue
+from rhubarblock.exchange import placements
 from rhubarblock.exchange import placer as placers
-from rhubarblock.exchange import places
-from rhubarblock.exchange import silence
 from rhubarblock.exchange import sink as sinks
+from rhubarblock.exchange import stalls
 from rhubarblock.exchange import transport as transports
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds after which a caller that was refused may come back.
+# Retry-After of a refused caller, in seconds.
 RETRY_AFTER_S = 0.5
-# How often room is looked for by what is under way, and the seconds between: a
-# slot is free again within a short stream's length.
+# Number of times that a retry checks for an endpoint with capacity, and the
+# seconds between two checks. Short streams free their slots within this time.
 ROOM_TRIES = 30
-ROOM_S = 0.05
-# Seconds between two looks of a new exchange that waits until an endpoint wants
-# it.
-OPENING_LOOK_S = 0.02
-# Longest seconds until it is asked again when a waiting exchange had better
-# begin: some prompts come or end meanwhile in a burst.
+ROOM_POLL_S = 0.05
+# Seconds between two checks of a new exchange that waits for an endpoint
+# without a cool-down and with a permit.
+AVAILABILITY_POLL_S = 0.02
+# Longest time in seconds until the best start of a waiting exchange is
+# predicted again: in a burst, prompts arrive and end meanwhile.
 START_S = 0.1
 
 
@@ -64,8 +64,8 @@
         Args:
           placer: chooses endpoints.
           runner: runs attempts.
-          outcomes_: learns from how they end, and grants further ones.
-          crash_detector: refuses what crashes endpoints.
+          outcomes_: records how attempts end and grants retries.
+          crash_detector: refuses exchanges that crash endpoints.
           timers: the clock.
         """
         self._placer = placer
@@ -81,14 +81,14 @@
         """Serves one exchange.
 
         Raises:
-          failures.FailureError: it failed; the sink may hold the begin of an
-            answer.
+          failures.FailureError: the exchange failed; the sink may hold the
+            start of an answer.
         """
         self._crashes.check(exchange)
         flow = flows.Flow(exchange, sink)
         try:
             async with asyncio.timeout_at(exchange.deadline_s):
-                await self._try_until_whole(flow)
+                await self._retry_until_complete(flow)
         except TimeoutError:
             raise failures.FailureError(
                 failures.Failure(
@@ -98,7 +98,7 @@
                 )
             ) from None
 
-    async def _try_until_whole(self, flow: flows.Flow) -> None:
+    async def _retry_until_complete(self, flow: flows.Flow) -> None:
         failed: attempts.FailedAnswerError | None = None
         while True:
             error = await self._try_once(flow)
@@ -106,99 +106,103 @@
                 return
             if isinstance(error, attempts.FailedAnswerError):
                 failed = error
-            flow.cursor.start_again()
-            if self._may_go_on(flow, error):
+            flow.cursor.discard_partial_event()
+            if self._may_retry(flow, error):
                 continue
             if failed is None or flow.sink.begun:
-                raise _give_up(flow, error.failure.message)
-            await attempts.pass_held(flow.sink, failed.answer, failed.body)
+                raise _make_final_error(flow, error.failure.message)
+            await attempts.send_buffered(flow.sink, failed.answer, failed.body)
             return
 
     async def _try_once(self, flow: flows.Flow) -> failures.FailureError | None:
-        """Makes one attempt and returns why it failed, if it did."""
+        """Makes one attempt and returns its error, or None."""
         avoid = flow.history.failed_endpoints
         await self._wait_for_room(flow)
-        await self._wait_for_opening(flow)
+        await self._wait_for_availability(flow)
         await self._wait_for_start(flow)
         with self._placer.hold(
             flow.exchange, avoid, flow.sink.begun, flow.refusals
-        ) as place:
-            if place is None:
-                raise self._refuse(flow)
-            self._outcomes.note_placed(flow, place)
+        ) as placement:
+            if placement is None:
+                raise self._make_refusal(flow)
+            self._outcomes.note_placed(flow, placement)
 
-            def may_leave(reason: silence.Reason) -> bool:
-                return self._may_leave(flow, place, reason)
+            def may_abandon(reason: stalls.Reason) -> bool:
+                return self._may_abandon(flow, placement, reason)
 
             try:
-                await self._run_noted(flow, place, may_leave)
+                await self._run_tracked(flow, placement, may_abandon)
             except (leases.LeaseError, attempts.ClosedError) as error:
                 self._outcomes.note_refused(
-                    flow, place, error.failure, error.endpoint_id
+                    flow, placement, error.failure, error.endpoint_id
                 )
                 return error
             except attempts.RefusedError as error:
-                self._note_refused(flow, place, error)
+                self._note_refused(flow, placement, error)
                 return error
             except transports.AttemptError as error:
-                self._outcomes.note_failed(flow, place, error)
+                self._outcomes.note_failed(flow, placement, error)
                 return error
-            self._outcomes.note_served(flow, place)
+            self._outcomes.note_served(flow, placement)
             self._crashes.note_served(flow.exchange)
             return None
 
     def _note_refused(
         self,
         flow: flows.Flow,
-        place: places.Place,
+        placement: placements.Placement,
         error: attempts.RefusedError,
     ) -> None:
-        """Avoids the engine that refused, be it the one asked or a helper."""
-        blamed = place.find_helper(error.at_fault) or place.endpoint
+        """Avoids the engine that refused: the one asked or a helper."""
+        blamed = placement.find_helper(error.at_fault) or placement.endpoint
         self._outcomes.note_refused(
-            flow, place, error.failure, blamed.endpoint_id, error.rest_s
+            flow, placement, error.failure, blamed.endpoint_id, error.cooldown_s
         )
         self._placer.note_refused(blamed)
         if error.misdirected:
             self._placer.forget(blamed)
-        elif blamed is not place.endpoint and not self._placer.has_many_helps(
-            flow.exchange, blamed
+        elif (
+            blamed is not placement.endpoint
+            and not self._placer.is_busy_helping(flow.exchange, blamed)
         ):
             self._outcomes.suspect(blamed)
 
-    def _may_leave(
+    def _may_abandon(
         self,
         flow: flows.Flow,
-        place: places.Place,
-        reason: silence.Reason,
+        placement: placements.Placement,
+        reason: stalls.Reason,
     ) -> bool:
-        """Takes what another attempt costs, if one is left and gains."""
+        """Takes a retry from the budget if another attempt would help."""
         if flow.is_last_attempt:
             return False
-        is_busy = reason is silence.Reason.BUSY
-        if not self._placer.can_move(flow, place, is_busy):
+        is_busy = reason is stalls.Reason.BUSY
+        if not self._placer.can_move(flow, placement, is_busy):
             return False
         return self._outcomes.grant(flow.exchange)
 
     async def _wait_for_room(self, flow: flows.Flow) -> None:
-        """Waits a while for room for what is under way already.
+        """Waits for an endpoint with capacity before a retry.
 
-        A new exchange is refused at once and its caller told when to come
-        back; one that was begun would be lost.
+        A new exchange is refused at once, with a Retry-After for its caller.
+        One that has been attempted is worth a short wait, as it would be lost.
         """
         if not flow.history.attempts:
             return
         for _ in range(ROOM_TRIES):
             if self._placer.has_room(flow):
                 return
-            await asyncio.sleep(ROOM_S)
+            await asyncio.sleep(ROOM_POLL_S)
 
-    async def _wait_for_opening(self, flow: flows.Flow) -> None:
-        """Lets a new exchange wait a little where endpoints' wishes stop it.
+    async def _wait_for_availability(self, flow: flows.Flow) -> None:
+        """Waits briefly while cool-downs or rate limits block a new exchange.
 
-        It is refused at once if no rate limit has room and no rest ends soon.
+        It is refused at once if no permit is due and no cool-down ends soon.
         """
-        if flow.history.attempts or self._placer.predict_opening(flow) is None:
+        if (
+            flow.history.attempts
+            or self._placer.predict_availability(flow) is None
+        ):
             return
         service = flow.exchange.service.name
         workspace = flow.exchange.workspace
@@ -207,10 +211,10 @@
                 self._queue.note_passed(service, workspace)
 
     async def _wait_for_turn(self, flow: flows.Flow) -> bool:
-        """Waits until an endpoint is open and no other workspace is next.
+        """Waits until an endpoint is available and this workspace is next.
 
         Returns:
-          Whether there is one.
+          Whether an endpoint is available.
         """
         service = flow.exchange.service.name
         workspace = flow.exchange.workspace
@@ -218,23 +222,23 @@
             has_room = self._placer.has_room(flow)
             if has_room and self._queue.is_next(service, workspace):
                 return True
-            wait_s = self._placer.predict_opening(flow)
+            wait_s = self._placer.predict_availability(flow)
             now_s = self._timers.read_monotonic()
-            left_s = endpointlimits.find_patience(flow.exchange, now_s)
+            left_s = endpointlimits.find_max_wait(flow.exchange, now_s)
             if wait_s is None or wait_s > left_s or not left_s:
                 return has_room
-            await asyncio.sleep(OPENING_LOOK_S)
+            await asyncio.sleep(AVAILABILITY_POLL_S)
 
-    def _refuse(self, flow: flows.Flow) -> failures.FailureError:
-        """Returns the failure of an exchange that has no place to go."""
-        opening = self._placer.find_return(flow)
-        if opening is None:
-            return _give_up(flow, "no endpoint has room")
-        after_s = max(RETRY_AFTER_S, round(opening.after_s, 2))
-        return _give_up(flow, opening.reason, after_s)
+    def _make_refusal(self, flow: flows.Flow) -> failures.FailureError:
+        """Returns the error of an exchange that no endpoint can take."""
+        advice = self._placer.find_retry_after(flow)
+        if advice is None:
+            return _make_final_error(flow, "no endpoint has room")
+        after_s = max(RETRY_AFTER_S, round(advice.after_s, 2))
+        return _make_final_error(flow, advice.reason, after_s)
 
     async def _wait_for_start(self, flow: flows.Flow) -> None:
-        """Lets a new exchange begin when that costs all callers least."""
+        """Delays a new exchange until its start costs all callers least."""
         if flow.history.attempts:
             return
         start_s = self._placer.find_start_delay(flow)
@@ -244,47 +248,49 @@
             await asyncio.sleep(min(start_s, START_S))
             start_s = self._placer.find_start_delay(flow)
 
-    async def _run_noted(
+    async def _run_tracked(
         self,
         flow: flows.Flow,
-        place: places.Place,
-        may_leave: Callable[[silence.Reason], bool],
+        placement: placements.Placement,
+        may_abandon: Callable[[stalls.Reason], bool],
     ) -> None:
-        """Runs an attempt, and looks for a crash when its connection breaks."""
-        with self._crashes.note_running(flow.exchange, place.endpoint):
+        """Runs an attempt and checks for a crash if its connection breaks."""
+        with self._crashes.note_running(flow.exchange, placement.endpoint):
             try:
-                await self._runner.run(flow, place, may_leave)
-            except (attempts.LeftError, attempts.FailedAnswerError):
+                await self._runner.run(flow, placement, may_abandon)
+            except (attempts.AbandonedError, attempts.FailedAnswerError):
                 raise
             except transports.AttemptError as error:
                 if error.failure.verdict is not verdicts.Verdict.NOT_RUN:
-                    self._crashes.note_broken(place.endpoint)
+                    self._crashes.note_broken(placement.endpoint)
                 raise
 
-    def _may_go_on(
+    def _may_retry(
         self, flow: flows.Flow, error: failures.FailureError
     ) -> bool:
-        """Decides whether another attempt is made."""
-        if not flow.may_try_again():
+        """Returns whether another attempt is made."""
+        if not flow.may_retry():
             return False
-        # Others may have found meanwhile what this one does to endpoints.
+        # A peer may have reported meanwhile that this exchange crashes
+        # endpoints.
         if self._crashes.is_quarantined(flow.exchange):
             return False
-        if isinstance(error, attempts.LeftError):
-            # It was given up only because the next one was granted.
+        if isinstance(error, attempts.AbandonedError):
+            # The attempt was abandoned only after the next one had been
+            # granted.
             return True
         return self._outcomes.grant(flow.exchange)
 
 
-def _give_up(
+def _make_final_error(
     flow: flows.Flow, message: str, retry_after_s: float = RETRY_AFTER_S
 ) -> failures.FailureError:
-    """Returns the final failure of an exchange.
+    """Returns the final error of an exchange.
 
     Args:
       flow: the exchange.
-      message: why.
-      retry_after_s: seconds after which its caller may come back.
+      message: reason for the caller.
+      retry_after_s: Retry-After in seconds, used if it did not run.
     """
     verdict = flow.history.verdict
     if verdict is verdicts.Verdict.NOT_RUN:
--- a/rhubarblock/exchange/relay_test.py
+++ b/rhubarblock/exchange/relay_test.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and what a caller is told in the end."""
+"""Retries of the relay, and the final answers to callers."""
 
 import asyncio
 
@@ -27,10 +27,10 @@
 
 
 def run(*scripts, **changes):
-    """Serves one exchange where each endpoint has one script.
+    """Serves one exchange; each endpoint has one script.
 
     Returns:
-      The sink, the failure or None, and the heads that arrived in all.
+      The sink, the failure or None, and the heads of all requests.
     """
 
     async def main():
@@ -48,14 +48,14 @@
     return asyncio.run(main())
 
 
-def test_whole_answer_is_passed_on():
+def test_complete_answer_is_forwarded():
     sink, failure, heads = run(fakes.whole(b"ok"), route=ONCE)
     assert (sink.status, sink.body, sink.finished) == (200, b"ok", True)
     assert failure is None
     assert len(heads) == 1
 
 
-def test_call_that_may_have_run_is_not_sent_again():
+def test_non_idempotent_call_that_may_have_run_is_not_retried():
     sink, failure, heads = run(cut, cut, route=ONCE)
     assert len(heads) == 1
     assert failure.http_status == 502
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("refusal", [SHED, MISDIRECTED])
-def test_call_that_was_refused_goes_to_another_endpoint(refusal):
+def test_refused_call_is_retried_at_another_endpoint(refusal):
     sink, failure, heads = run(refusal, refusal, route=ONCE)
     assert len(heads) == 2
     assert failure.http_status == 503
@@ -73,7 +73,7 @@
     assert failure.retry_after_s > 0.0
 
 
-def test_endpoint_whose_address_another_one_has_is_forgotten():
+def test_endpoint_whose_address_was_reused_is_removed():
     async def main():
         endpoint = fakes.ScriptedEndpoint(MISDIRECTED)
         async with fakes.open_parts(endpoint) as parts:
@@ -86,7 +86,7 @@
     assert asyncio.run(main()) == []
 
 
-def test_what_is_known_of_endpoints_that_left_is_forgotten():
+def test_health_of_unlisted_endpoints_is_dropped():
     async def main():
         endpoint = fakes.ScriptedEndpoint(cut)
         async with fakes.open_parts(endpoint) as parts:
@@ -102,26 +102,26 @@
     assert asyncio.run(main()) == (True, False)
 
 
-def test_idempotent_request_is_sent_again_after_a_cut():
+def test_idempotent_request_is_retried_after_a_cut():
     sink, failure, heads = run(cut, cut)
     assert len(heads) == 2
     assert failure.http_status == 502
 
 
-def test_no_more_endpoints_than_the_route_allows():
+def test_attempts_are_limited_by_the_route():
     _, failure, heads = run(cut, cut, cut)
     assert len(heads) == 2
     assert failure is not None
 
 
-def test_failure_of_the_endpoint_is_passed_on_when_all_fail():
+def test_server_error_is_forwarded_if_all_attempts_fail():
     sink, failure, heads = run(FAILS, FAILS)
     assert (sink.status, sink.body) == (500, b"bad")
     assert len(heads) == 2
     assert failure is None
 
 
-def test_failure_of_a_call_is_passed_on_at_once():
+def test_server_error_of_a_non_idempotent_call_is_forwarded_at_once():
     sink, _, heads = run(FAILS, FAILS, route=ONCE)
     assert (sink.status, sink.body) == (500, b"bad")
     assert len(heads) == 1
@@ -130,20 +130,20 @@
 @pytest.mark.parametrize(
     "status", ["503 Service Unavailable", "429 Too Many", "408 Timeout"]
 )
-def test_promise_that_an_endpoint_did_not_make_is_not_passed_on(status):
+def test_status_that_implies_not_run_is_not_forwarded_without_a_refusal(status):
     sink, failure, heads = run(fakes.whole(b"", status), route=ONCE)
     assert not sink.begun
     assert failure.http_status == 502
     assert len(heads) == 1
 
 
-def test_success_without_a_signature_is_no_success():
+def test_success_without_a_signature_is_an_error():
     sink, failure, _ = run(fakes.whole(b"ok", seal=False), route=ONCE)
     assert not sink.begun
     assert failure.http_status == 502
 
 
-def test_answer_that_breaks_off_is_taken_from_another_endpoint():
+def test_truncated_answer_is_not_forwarded():
     async def half(head, writer):
         await fakes.whole(b"whole")(head, writer)
         raise ConnectionError
@@ -161,7 +161,7 @@
     assert failure.http_status == 502
 
 
-def test_broken_stream_goes_on_after_its_last_whole_event():
+def test_broken_stream_resumes_after_its_last_complete_event():
     first = fakes.events(1, 2, end=False, rest=b"id: 3\nda")
     heads_seen = []
 
@@ -194,14 +194,14 @@
     assert failure is not None
 
 
-def test_stream_that_ends_within_an_event_is_not_whole():
+def test_stream_that_ends_within_an_event_is_an_error():
     ends_early = fakes.events(1, rest=b"id: 2\nda")
     sink, failure, _ = run(ends_early, ends_early, route=STREAM)
     assert not sink.finished
     assert failure is not None
 
 
-def test_endpoint_is_told_what_is_left_of_the_time():
+def test_endpoint_receives_the_remaining_time():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with fakes.open_parts(endpoint) as parts:
@@ -215,7 +215,7 @@
     assert 600 < int(line.split(": ")[1]) <= 750
 
 
-def test_time_that_ends_within_an_attempt_says_may_have_run():
+def test_deadline_within_an_attempt_gives_may_have_run():
     async def hang(head, writer):
         await asyncio.sleep(5.0)
 
@@ -233,7 +233,7 @@
     assert failure.verdict is verdicts.Verdict.MAY_HAVE_RUN
 
 
-def test_caller_who_leaves_ends_the_work_at_the_endpoint():
+def test_disconnect_of_the_caller_cancels_the_attempt():
     async def hang(head, writer):
         await asyncio.sleep(0.5)
         writer.write(b"x")
@@ -257,13 +257,13 @@
     asyncio.run(main())
 
 
-def test_no_endpoint_at_all_is_said_at_once():
+def test_missing_endpoints_are_an_immediate_error():
     _, failure, _ = run(route=ONCE)
     assert failure.http_status == 503
     assert failure.verdict is verdicts.Verdict.NOT_RUN
 
 
-def test_spent_budget_ends_retries():
+def test_spent_retry_budget_ends_retries():
     async def main():
         endpoints = [fakes.ScriptedEndpoint(cut, cut) for _ in range(2)]
         async with fakes.open_parts(*endpoints) as parts:
@@ -277,7 +277,7 @@
     assert asyncio.run(main()) == 1
 
 
-def test_exchange_in_quarantine_is_refused_without_a_call():
+def test_quarantined_exchange_is_refused_without_an_attempt():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with fakes.open_parts(endpoint) as parts:
@@ -285,7 +285,7 @@
             for number in (1, 2):
                 parts.updates.on_crash(f"gone{number}", {"p" * 32: 0.1})
                 await asyncio.sleep(0.0)
-                parts.relay._crashes._timers = _Later(parts.timers, 3.0)
+                parts.relay._crashes._timers = _AheadClock(parts.timers, 3.0)
             with pytest.raises(failures.FailureError) as raised:
                 await parts.relay.serve(exchange, fakes.MemorySink())
             return raised.value.failure, endpoint.heads
@@ -296,8 +296,8 @@
     assert heads == []
 
 
-class _Later:
-    """A clock that is some seconds ahead of another one."""
+class _AheadClock:
+    """A clock that runs some seconds ahead of another one."""
 
     def __init__(self, timers, ahead_s):
         self._timers = timers
@@ -307,7 +307,7 @@
         return self._timers.read_monotonic() + self._ahead_s
 
 
-def test_helper_that_made_an_engine_refuse_is_left_alone():
+def test_helper_that_caused_a_refusal_is_avoided():
     async def refuse(head, writer):
         helper = next(x for x in head.split("\r\n") if names.HELPERS in x)
         address = helper.split(": ")[1].split(",")[0]
@@ -335,19 +335,19 @@
     assert asyncio.run(main())
 
 
-def make_long_reading(number, read_s):
-    part = jobtracker.Part(f"e{number}", read_s)
+def make_long_prefill(number, prefill_s):
+    part = jobtracker.Part(f"e{number}", prefill_s)
     return jobtracker.Job(f"long{number}", (part,), 0.8)
 
 
-def run_beside_long_reading(*busy_too):
-    """Streams from the first engine while long reading is placed there.
+def run_beside_long_prefill(*other_prefills_s):
+    """Streams from the first engine while a long prefill is placed there.
 
     Args:
-      *busy_too: seconds of reading that each further engine has.
+      *other_prefills_s: seconds of prefill placed at each further engine.
 
     Returns:
-      What the caller got, and the requests that arrived at each engine.
+      The sink, and the number of requests at each engine.
     """
 
     async def slow_events(head, writer):
@@ -366,14 +366,16 @@
     async def main():
         engines = [
             fakes.ScriptedEndpoint(slow_events)
-            for _ in range(1 + len(busy_too))
+            for _ in range(1 + len(other_prefills_s))
         ]
         async with fakes.open_parts(*engines, service="pool") as parts:
             now_s = asyncio.get_running_loop().time()
-            for number, read_s in enumerate(busy_too, 2):
-                if not read_s:
+            for number, prefill_s in enumerate(other_prefills_s, 2):
+                if not prefill_s:
                     continue
-                parts.book.add(make_long_reading(number, read_s), now_s)
+                parts.job_tracker.add(
+                    make_long_prefill(number, prefill_s), now_s
+                )
             sink = fakes.MemorySink()
             exchange = fakes.make_exchange(
                 STREAM, fakes.ENGINES, prompt_tokens=2_000, answer_tokens=100
@@ -381,38 +383,38 @@
             serving = asyncio.ensure_future(parts.relay.serve(exchange, sink))
             while b"id: 2" not in sink.body:
                 await asyncio.sleep(0.005)
-            parts.book.add(make_long_reading(1, 2.0), now_s)
+            parts.job_tracker.add(make_long_prefill(1, 2.0), now_s)
             await serving
             return sink, [len(engine.heads) for engine in engines]
 
     return asyncio.run(main())
 
 
-def test_short_stream_leaves_an_engine_that_gets_long_reading():
-    sink, arrivals = run_beside_long_reading(0.0)
+def test_short_stream_moves_away_from_a_long_prefill():
+    sink, arrivals = run_beside_long_prefill(0.0)
     assert arrivals == [1, 1]
     assert sink.body == b"".join(
         b"id: %d\ndata: x\n\n" % number for number in (1, 2, 3, 4)
     )
 
 
-def test_short_stream_stays_where_no_other_engine_begins_sooner():
-    sink, arrivals = run_beside_long_reading(1.9)
+def test_short_stream_stays_if_no_other_engine_starts_sooner():
+    sink, arrivals = run_beside_long_prefill(1.9)
     assert arrivals == [1, 0]
     assert sink.finished
 
 
-def test_short_stream_stays_where_there_is_no_other_engine():
-    sink, arrivals = run_beside_long_reading()
+def test_short_stream_stays_if_there_is_no_other_engine():
+    sink, arrivals = run_beside_long_prefill()
     assert arrivals == [1]
     assert sink.finished
 
 
-def run_giant(busy_s):
-    """Sends a giant to engines that each read for another prompt.
+def run_giant_prompt(busy_s):
+    """Sends a giant prompt to engines that each prefill another prompt.
 
     Returns:
-      How often a start was put off, and whether the answer is whole.
+      How often a start was delayed, and whether the answer is complete.
     """
 
     async def main():
@@ -422,7 +424,7 @@
             for number in range(1, 7):
                 part = jobtracker.Part(f"e{number}", busy_s)
                 job = jobtracker.Job(f"r{number}", (part,), 0.8, 210_000, 1.6)
-                parts.book.add(job, now_s)
+                parts.job_tracker.add(job, now_s)
             route = fakes.make_route(
                 routes.RouteKind.STREAMING, objective_s=3.0, pause_s=0.8
             )
@@ -438,15 +440,15 @@
     return asyncio.run(main())
 
 
-def test_giant_waits_until_what_is_being_read_is_read():
-    assert run_giant(0.9) == (1, True)
+def test_giant_prompt_waits_for_running_prefills():
+    assert run_giant_prompt(0.9) == (1, True)
 
 
-def test_giant_begins_at_once_where_nothing_is_being_read():
-    assert run_giant(0.0) == (0, True)
+def test_giant_prompt_starts_at_once_on_idle_engines():
+    assert run_giant_prompt(0.0) == (0, True)
 
 
-def test_refused_plan_drops_the_helper_and_not_the_engine_that_was_asked():
+def test_refused_split_avoids_the_helper_and_not_the_asked_engine():
     blamed = []
 
     async def refuse(head, writer):
@@ -479,7 +481,7 @@
     assert avoided == blamed[:1]
 
 
-# So low that no further permit comes within a test.
+# So low that no further permit is granted within a test.
 LIMITED = fakes.whole(b"ok", extra=f"{names.LIMIT}: 0.01\r\n")
 
 
@@ -487,7 +489,7 @@
     """Serves exchanges one after the other.
 
     Returns:
-      The failures, None for what was served, and the arrivals by endpoint.
+      The failures (None if served), the requests by endpoint, and the limits.
     """
 
     async def main():
@@ -506,17 +508,17 @@
     return asyncio.run(main())
 
 
-def test_endpoint_that_named_a_limit_is_spared_while_another_has_room():
-    needy = fakes.ScriptedEndpoint(*[LIMITED] * 9)
-    sound = fakes.ScriptedEndpoint(*[fakes.whole(b"ok")] * 9)
-    ends, arrivals, _ = serve_in_turn(8, needy, sound)
+def test_rate_limited_endpoint_is_avoided_while_another_has_capacity():
+    limited = fakes.ScriptedEndpoint(*[LIMITED] * 9)
+    healthy = fakes.ScriptedEndpoint(*[fakes.whole(b"ok")] * 9)
+    ends, arrivals, _ = serve_in_turn(8, limited, healthy)
     assert ends == [None] * 8
     assert arrivals == [1, 7]
 
 
-def test_where_all_named_limits_the_caller_is_told_when_there_is_room():
-    needy = fakes.ScriptedEndpoint(*[LIMITED] * 9)
-    ends, arrivals, _ = serve_in_turn(4, needy)
+def test_caller_gets_retry_after_if_all_endpoints_are_rate_limited():
+    limited = fakes.ScriptedEndpoint(*[LIMITED] * 9)
+    ends, arrivals, _ = serve_in_turn(4, limited)
     assert ends[0] is None
     refused = [end for end in ends if end is not None]
     assert refused
@@ -524,7 +526,7 @@
     assert {end.message for end in refused} == {
         "the rate limits of endpoints leave no room"
     }
-    # Not all come back at the same moment.
+    # Retries are spread.
     assert len({end.retry_after_s for end in refused}) == len(refused)
 
 
@@ -532,14 +534,14 @@
     ("second", "rate"),
     [
         (fakes.whole(b"ok"), None),
-        # A refusal, or a failure that nobody signed, says nothing of it.
+        # A refusal or an unsigned error does not end the limit.
         (SHED, 5_000.0),
         (fakes.whole(b"", "500 Internal Server Error", seal=False), 5_000.0),
         (fakes.whole(b"ok", extra=f"{names.LIMIT}: soon\r\n"), 5_000.0),
         (fakes.whole(b"ok", extra=f"{names.LIMIT}: 7000\r\n"), 7_000.0),
     ],
 )
-def test_limit_holds_until_a_signed_answer_names_none(second, rate):
+def test_rate_limit_holds_until_a_signed_answer_lacks_it(second, rate):
     first = fakes.whole(b"ok", extra=f"{names.LIMIT}: 5000\r\n")
     endpoint = fakes.ScriptedEndpoint(first, second)
     _, arrivals, limits = serve_in_turn(2, endpoint)
@@ -547,13 +549,13 @@
     assert limits.find_rate("e1") == rate
 
 
-def test_limit_of_an_endpoint_is_passed_on_to_the_caller():
+def test_rate_limit_of_an_endpoint_is_forwarded_to_the_caller():
     sink, _, _ = run(LIMITED, route=ONCE)
     passed = {header.name: header.value for header in sink.headers}
     assert passed[names.LIMIT] == "0.01"
 
 
-def test_workspace_with_one_request_is_not_held_up_by_one_with_many(
+def test_workspace_with_one_request_is_not_starved_by_one_with_many(
     monkeypatch,
 ):
     monkeypatch.setattr(endpointlimits, "WAIT_S", 60.0)
@@ -561,8 +563,8 @@
 
     async def main():
         script = fakes.whole(b"ok", extra=f"{names.LIMIT}: 20\r\n")
-        needy = fakes.ScriptedEndpoint(*[script] * (2 * many))
-        async with fakes.open_parts(needy) as parts:
+        limited = fakes.ScriptedEndpoint(*[script] * (2 * many))
+        async with fakes.open_parts(limited) as parts:
             order = []
 
             async def serve(workspace):
@@ -582,7 +584,7 @@
     assert "b" in order[:6]
 
 
-def test_endpoint_that_refuses_at_once_is_not_the_first_choice_again():
+def test_endpoint_that_refuses_at_once_is_not_preferred():
     async def main():
         full = fakes.ScriptedEndpoint(*[SHED] * 10)
         other = fakes.ScriptedEndpoint(*[fakes.whole()] * 10)
@@ -596,7 +598,7 @@
     assert asyncio.run(main()) == (1, 5)
 
 
-def test_refusal_does_not_make_up_for_failures():
+def test_refusal_does_not_lower_the_error_rate():
     async def main():
         endpoint = fakes.ScriptedEndpoint(SHED)
         async with fakes.open_parts(endpoint) as parts:
--- a/rhubarblock/exchange/requesthandler.py
+++ b/rhubarblock/exchange/requesthandler.py
@@ -1,4 +1,4 @@
-"""The callers' side: reads a request, checks key and route, relays it."""
+"""Handles callers' HTTP requests: reads, authenticates, routes, relays."""
 
 import asyncio
 import contextlib
@@ -20,21 +20,21 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import apierrors
 
-# Seconds for which a request waits for the lease of the configuration, as
-# after a freeze: one read of the store and some more.
+# Seconds for which a request waits for the lease of the configuration, as after
+# a frozen process resumes: one read of the store and some slack.
 LEASE_WAIT_S = 0.3
 # Seconds for which a request waits at an instance that has just started: the
-# first read is under way, and a caller that was refused would come back later
-# than that.
+# first read is in progress and ends before a refused caller would retry.
 START_WAIT_S = 1.0
-# Seconds after which a caller may come back that no instance could check.
+# Retry-After in seconds of a caller that could not be authenticated because the
+# configuration has no valid lease.
 LEASE_RETRY_S = 1.0
 
 _logger = logging.getLogger(__name__)
 
 
 class RequestHandler:
-    """Takes callers' requests."""
+    """Handles the requests of callers."""
 
     __slots__ = (
         "_config_lease",
@@ -58,17 +58,17 @@
         metrics: metric_store.Metrics,
         rng: random.Random,
     ):
-        """Creates a front door.
+        """Creates a handler.
 
         Args:
           config_lease: the configuration in force.
-          dialect: spelling of heads.
+          dialect: header fields of the deployment.
           relay: serves exchanges.
           listed: set once endpoints are known.
           lifecycle: counts requests in flight.
           timers: the clock.
           metrics: counters.
-          rng: parts requests between the services of a route.
+          rng: splits requests between the services of a route.
         """
         self._config_lease = config_lease
         self._dialect = dialect
@@ -86,7 +86,7 @@
         self._metrics.count("exchange.requests")
         with self._lifecycle.track_request():
             try:
-                exchange = await self._check(request, arrived_s)
+                exchange = await self._read_exchange(request, arrived_s)
                 await self._relay.serve(exchange, sink)
             except failures.FailureError as error:
                 return self._answer_failure(request, sink, error.failure)
@@ -121,9 +121,9 @@
             return sink.response
         response = apierrors.answer(failure)
         if failure.retry_after_s is not None:
-            # Callers here read fractions, which spread them better.
+            # Callers accept fractions of seconds, which spread retries better.
             response.headers["Retry-After"] = f"{failure.retry_after_s:g}"
-        if _is_last(request, self._lifecycle):
+        if _closes_connection(request, self._lifecycle):
             response.force_close()
         return response
 
@@ -133,13 +133,13 @@
             return None
         return round(self._config_lease.age_s, 2)
 
-    async def _check(
+    async def _read_exchange(
         self, request: web.BaseRequest, arrived_s: float
     ) -> exchanges.Exchange:
-        """Reads a request and checks what it may do.
+        """Reads a request and checks its key and route.
 
         Raises:
-          failures.FailureError: it may not be served.
+          failures.FailureError: the request is refused.
         """
         table = self._config_lease.table
         body = await _read_body(
@@ -148,7 +148,7 @@
         wait_s = START_WAIT_S if table is None else LEASE_WAIT_S
         table = await self._config_lease.wait_valid(wait_s)
         if not self._listed.is_set():
-            # The list comes right after the configuration at a start.
+            # At startup the list arrives right after the configuration.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LEASE_WAIT_S):
                     await self._listed.wait()
@@ -227,7 +227,7 @@
             response.enable_chunked_encoding()
         else:
             response.content_length = length
-        if _is_last(self._request, self._lifecycle):
+        if _closes_connection(self._request, self._lifecycle):
             response.force_close()
         self.response = response
         await response.prepare(self._request)
@@ -249,12 +249,12 @@
             transport.close()
 
 
-def _is_last(
+def _closes_connection(
     request: web.BaseRequest, lifecycle: lifecycles.InstanceLifecycle
 ) -> bool:
-    """Says whether a connection is to close after the answer to a request.
+    """Returns whether the connection closes after this answer.
 
-    One that was sent behind it and has been read is answered first.
+    A pipelined request that has already been read is answered first.
     """
     if lifecycle.state is not lifecycles.LifecycleState.DRAINING:
         return False
@@ -263,7 +263,7 @@
 
 @contextlib.contextmanager
 def _caller_gone():  # type: ignore[no-untyped-def]
-    """Ends an exchange like a cancelled one when its caller has left."""
+    """Treats a caller that disconnected as a cancelled exchange."""
     try:
         yield
     except ConnectionError as error:
--- a/rhubarblock/exchange/requesthandler_test.py
+++ b/rhubarblock/exchange/requesthandler_test.py
@@ -1,4 +1,4 @@
-"""The callers' side over real sockets."""
+"""Callers' requests over real sockets."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_door(*endpoints, table=TABLE):
+async def open_instance(*endpoints, table=TABLE):
     async with (
         fakes.open_parts(*endpoints) as parts,
         fakes.open_callers(parts, table) as url,
@@ -48,12 +48,17 @@
 
 
 def ask(path, *scripts, table=TABLE, body=b"", **changes):
-    """Sends one request; returns the status, head and body, and the heads."""
+    """Sends one request.
+
+    Returns:
+      The answer's status, headers and body, and the heads of the requests at
+      the endpoint.
+    """
 
     async def main():
         endpoint = fakes.ScriptedEndpoint(*scripts)
         async with (
-            open_door(endpoint, table=table) as (_, session, url),
+            open_instance(endpoint, table=table) as (_, session, url),
             session.post(
                 url + path, headers=make_headers(**changes), data=body
             ) as answer,
@@ -64,7 +69,7 @@
     return asyncio.run(main())
 
 
-def test_answer_comes_with_its_signature():
+def test_answer_keeps_its_signature():
     status, headers, content, heads = ask("/a/x", fakes.whole(b"ok"))
     assert (status, content) == (200, b"ok")
     assert headers[fakes.SEAL] == "s"
@@ -73,7 +78,7 @@
     assert f"{names.TENANT}: members" in heads[0]
 
 
-def test_unknown_path_and_key_are_refused_without_a_call():
+def test_unknown_path_and_key_are_refused_without_an_attempt():
     status, _, _, heads = ask("/none/x", fakes.whole())
     assert (status, heads) == (404, [])
     changes = {names.CREDENTIAL: "wrong"}
@@ -93,24 +98,24 @@
     assert (status, heads) == (413, [])
 
 
-def test_instance_that_knows_no_configuration_says_come_back():
+def test_instance_without_a_configuration_answers_retry_after():
     status, headers, _, heads = ask("/a/x", fakes.whole(), table=None)
     assert (status, heads) == (503, [])
     assert headers["Retry-After"] == "1"
 
 
-def test_events_come_in_chunks_and_end():
+def test_events_are_forwarded_in_chunks_to_the_end():
     status, _, content, _ = ask("/s/x", fakes.events(1, 2))
     assert status == 200
     assert content == b"id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
 
 
-def test_stream_that_broke_does_not_look_whole():
+def test_broken_stream_does_not_look_complete():
     async def main():
         broken = fakes.events(1, end=False)
         endpoint = fakes.ScriptedEndpoint(broken)
         async with (
-            open_door(endpoint) as (_, session, url),
+            open_instance(endpoint) as (_, session, url),
             session.post(url + "/s/x", headers=make_headers()) as answer,
         ):
             try:
@@ -124,7 +129,7 @@
 def test_expired_lease_refuses_keyed_requests():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
-        async with open_door(endpoint) as (parts, session, url):
+        async with open_instance(endpoint) as (parts, session, url):
             parts.config_lease._confirmed_s -= 5.0
             async with session.post(
                 url + "/a/x", headers=make_headers()
@@ -137,7 +142,7 @@
 def test_draining_instance_serves_and_closes_its_connection():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
-        async with open_door(endpoint) as (parts, session, url):
+        async with open_instance(endpoint) as (parts, session, url):
             parts.lifecycle.start_drain()
             async with session.post(
                 url + "/a/x", headers=make_headers()
@@ -147,7 +152,7 @@
     assert asyncio.run(main()) == (200, "close")
 
 
-def test_caller_that_leaves_ends_the_work_at_the_endpoint():
+def test_disconnect_of_the_caller_closes_the_endpoint_connection():
     async def hang(head, writer):
         while True:
             await asyncio.sleep(0.02)
@@ -156,7 +161,7 @@
 
     async def main():
         endpoint = fakes.ScriptedEndpoint(hang)
-        async with open_door(endpoint) as (parts, session, url):
+        async with open_instance(endpoint) as (parts, session, url):
             task = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
@@ -175,7 +180,7 @@
 def test_request_at_a_start_waits_for_the_list_of_endpoints():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
-        async with open_door(endpoint) as (parts, session, url):
+        async with open_instance(endpoint) as (parts, session, url):
             parts.listed.clear()
             parts.directory.remove("e1")
             asked = asyncio.ensure_future(
@@ -193,7 +198,7 @@
 def test_request_at_a_start_waits_for_the_configuration():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
-        async with open_door(endpoint, table=None) as (parts, session, url):
+        async with open_instance(endpoint, table=None) as (parts, session, url):
             asked = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
--- a/rhubarblock/exchange/sink.py
+++ b/rhubarblock/exchange/sink.py
@@ -1,4 +1,4 @@
-"""Where the answer to an exchange goes."""
+"""Interface that receives the answer to an exchange."""
 
 import abc
 
@@ -11,7 +11,7 @@
     @property
     @abc.abstractmethod
     def begun(self) -> bool:
-        """Whether the caller has the head of an answer already."""
+        """Whether the status and headers were sent to the caller."""
 
     @abc.abstractmethod
     async def begin(
@@ -20,12 +20,12 @@
         headers: tuple[exchanges.Header, ...],
         length: int | None,
     ) -> None:
-        """Sends the head of the answer.
+        """Sends the status and headers of the answer.
 
         Args:
           status: HTTP status.
-          headers: fields of the endpoint's answer.
-          length: length of the body in bytes, or None if it is not known.
+          headers: header fields of the endpoint's answer.
+          length: length of the body in bytes, or None if unknown.
         """
 
     @abc.abstractmethod
@@ -34,8 +34,8 @@
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """Ends the answer as a whole one."""
+        """Ends the answer as a complete one."""
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Closes the connection, so that the answer can't look whole."""
+        """Closes the connection, so that the answer can't look complete."""
--- a/rhubarblock/exchange/state/__init__.py
+++ b/rhubarblock/exchange/state/__init__.py
@@ -1,8 +1,8 @@
-"""Configuration and endpoints at one instance, and where they come from.
+"""Configuration and endpoint list of one instance, and their replication.
 
-Others read ``config_lease`` (the routing table under its lease) and
-``directory`` (the endpoints). Read on in ``follower`` (asks the store or a
-peer), ``feed`` (answers peers), ``replica`` (what was said last, as it was
-said), ``changelog`` and ``removals`` (what changed and what was removed) and
-``subset`` (which endpoints of a long list an instance uses).
+Other packages use ``configlease`` (the routing table and its lease) and
+``directory`` (the endpoints). ``follower`` polls the store or a peer, ``feed``
+serves peers, ``replica`` holds the latest state as received, ``changelog`` and
+``tombstones`` hold its latest changes and removals, and ``subset`` selects the
+endpoints of a large pool that an instance uses.
 """
--- a/rhubarblock/exchange/state/changelog.py
+++ b/rhubarblock/exchange/state/changelog.py
@@ -1,10 +1,10 @@
-"""Numbered changes of the list of endpoints, for peers that follow them."""
+"""Numbered changes of the endpoint list, for peers that poll for them."""
 
 from rhubarblock.store import store as stores
 
-# Changes that are kept; a peer that is further behind gets the whole list. A
-# rolling replacement changes some entries a second.
-KEPT_CHANGES = 256
+# Number of changes that are kept; a peer that is further behind gets the whole
+# list. A rolling replacement changes some entries per second.
+MAX_CHANGES = 256
 
 
 class ChangeLog:
@@ -19,28 +19,31 @@
     def __init__(self) -> None:
         self._changes: list[stores.StoredObject] = []
         self.number = 0
-        # Number of the oldest change that is kept.
+        # Number of the oldest kept change.
         self._first = 1
 
     def note(self, stored: stores.StoredObject) -> None:
-        """Takes in a change."""
+        """Appends a change."""
         self.number += 1
         self._changes.append(stored)
-        if len(self._changes) > KEPT_CHANGES:
+        if len(self._changes) > MAX_CHANGES:
             del self._changes[0]
             self._first += 1
 
     def forget(self) -> None:
-        """Gives every peer the whole list, as changes were of another era."""
+        """Discards all changes, as they are of another era.
+
+        Every peer gets the whole list next.
+        """
         self._changes.clear()
         self.number += 1
         self._first = self.number + 1
 
     def list_since(self, after: int) -> list[stores.StoredObject] | None:
-        """Returns the changes after a number, None where some are not kept.
+        """Returns the changes after a number, or None if some are not kept.
 
         Args:
-          after: number of the latest change that is known, 0 for none.
+          after: number of the latest known change, 0 for none.
         """
         if after <= 0 or not self._first <= after + 1 <= self.number + 1:
             return None
--- a/rhubarblock/exchange/state/configlease.py
+++ b/rhubarblock/exchange/state/configlease.py
@@ -1,10 +1,10 @@
-"""The configuration in force, and how long it may be trusted.
+"""The configuration in force and its lease.
 
-A key that was taken away must be refused everywhere within a bound, also by an
-instance that can't reach the store or that stood still. So each instance
-holds the configuration under a lease: it counts from the moment at which a
-linearizable read was *sent* that confirmed it, on a clock that goes on while
-the machine is suspended.
+A revoked key must be refused everywhere within a bound, also by an instance
+that cannot reach the store or that was frozen. So each instance holds the
+configuration under a lease. The lease starts when the linearizable read that
+confirmed the configuration was *sent*, on a clock that also runs while the
+machine is suspended.
 """
 
 import asyncio
@@ -13,18 +13,18 @@
 
 from rhubarblock.core import route as routes
 
-# Seconds by which the lease ends before the bound, for the drift of clocks
-# and the time between a check and the send that it allows.
+# Seconds by which the lease ends before the bound, to allow for clock drift and
+# for the time between a check and the send that it permits.
 MARGIN_S = 0.25
 
 
 def read_boot_clock() -> float:
-    """Returns seconds of a clock that goes on while a machine is suspended."""
+    """Returns seconds of a clock that also runs during a suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ConfigurationLease:
-    """Holds the newest routing table and its lease."""
+    """Holds the latest routing table and its lease."""
 
     __slots__ = (
         "_changed",
@@ -39,11 +39,11 @@
         revoke_s: float,
         read_clock: Callable[[], float] = read_boot_clock,
     ):
-        """Starts without a table.
+        """Creates a lease without a table.
 
         Args:
-          revoke_s: bound in seconds for the removal of a key.
-          read_clock: clock in seconds that never stands still.
+          revoke_s: bound in seconds for the revocation of a key.
+          read_clock: clock in seconds that also runs during a suspend.
         """
         self._lease_s = revoke_s - MARGIN_S
         self._read_clock = read_clock
@@ -53,12 +53,12 @@
 
     @property
     def table(self) -> routes.RoutingTable | None:
-        """The newest table, whether or not its lease holds."""
+        """The latest table, whether or not its lease is valid."""
         return self._table
 
     @property
     def version(self) -> int:
-        """Version of the newest table; 0 without one."""
+        """Version of the latest table; 0 without one."""
         return self._table.version if self._table else 0
 
     @property
@@ -67,37 +67,37 @@
         return self._read_clock() - self._confirmed_s
 
     def read_clock(self) -> float:
-        """Returns the lease's clock, to be noted before a read is sent."""
+        """Returns the lease's clock; call it before a read is sent."""
         return self._read_clock()
 
-    def confirm(self, version: int, asked_s: float) -> bool:
-        """Takes in that a read sent at a moment found a certain version.
+    def confirm(self, version: int, sent_s: float) -> bool:
+        """Extends the lease if a read found the version held here.
 
         Args:
           version: version that the read found.
-          asked_s: the lease's clock before the read was sent.
+          sent_s: the lease's clock before the read was sent.
 
         Returns:
-          Whether the table held here is of that version, so that the lease
-          could be extended.
+          Whether the table held here has that version, so that the lease was
+          extended.
         """
         if self._table is None or version != self._table.version:
             return False
-        self._extend(asked_s)
+        self._extend(sent_s)
         return True
 
     def install(
         self,
         table: routes.RoutingTable,
-        asked_s: float,
+        sent_s: float,
         replaces: bool = False,
     ) -> bool:
-        """Puts a table in force unless a newer one is.
+        """Puts a table into force unless a newer one is in force.
 
         Args:
-          table: a table that a read found.
-          asked_s: the lease's clock before the read was sent.
-          replaces: whether it replaces one of the same version.
+          table: the table that a read found.
+          sent_s: the lease's clock before the read was sent.
+          replaces: whether it replaces a table of the same version.
 
         Returns:
           Whether the table is new here.
@@ -107,22 +107,22 @@
         is_new = replaces or table.version > self.version
         if is_new:
             self._table = table
-            # The older table's confirmations say nothing of this one, but
-            # the read that brought it is younger than they are.
-        self._extend(asked_s)
+            # Confirmations of the older table don't apply to this one, but the
+            # read that found it is later than they are.
+        self._extend(sent_s)
         return is_new
 
     def find_valid(self) -> routes.RoutingTable | None:
-        """Returns the table if its lease holds at this moment."""
+        """Returns the table if its lease is valid now."""
         if self.age_s > self._lease_s:
             return None
         return self._table
 
     async def wait_valid(self, timeout_s: float) -> routes.RoutingTable | None:
-        """Waits a while for the lease, as after a freeze.
+        """Waits for a valid lease, as after a frozen process resumes.
 
         Returns:
-          The table, or None if the lease did not come back in time.
+          The table, or None if the lease was not renewed in time.
         """
         table = self.find_valid()
         if table is not None:
@@ -137,6 +137,6 @@
             return None
         return table
 
-    def _extend(self, asked_s: float) -> None:
-        self._confirmed_s = max(self._confirmed_s, asked_s)
+    def _extend(self, sent_s: float) -> None:
+        self._confirmed_s = max(self._confirmed_s, sent_s)
         self._changed.set()
