--- a/rhubarblock/exchange/state/configlease_test.py
+++ b/rhubarblock/exchange/state/configlease_test.py
@@ -25,16 +25,16 @@
     )
 
 
-def make_authority():
+def make_config_lease():
     clock = Clock()
     return config_leases.ConfigurationLease(5.0, clock), clock
 
 
-def test_lease_counts_from_the_sending_of_the_read():
-    config_lease, clock = make_authority()
-    asked_s = config_lease.read_clock()
+def test_lease_starts_when_the_read_is_sent():
+    config_lease, clock = make_config_lease()
+    sent_s = config_lease.read_clock()
     clock.now_s = 3.0
-    config_lease.install(make_table(1), asked_s)
+    config_lease.install(make_table(1), sent_s)
     assert config_lease.find_valid() is not None
     clock.now_s = 4.7
     assert config_lease.find_valid() is not None
@@ -42,15 +42,15 @@
     assert config_lease.find_valid() is None
 
 
-def test_frozen_instance_holds_no_lease_when_it_wakes():
-    config_lease, clock = make_authority()
+def test_lease_is_invalid_after_a_freeze():
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(1), 0.0)
     clock.now_s = 9.0
     assert config_lease.find_valid() is None
 
 
-def test_instance_that_is_cut_off_stops_and_comes_back_with_a_read():
-    config_lease, clock = make_authority()
+def test_lease_expires_without_reads_and_a_read_renews_it():
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(1), 0.0)
     clock.now_s = 6.0
     assert config_lease.find_valid() is None
@@ -61,7 +61,7 @@
 
 
 def test_older_table_neither_reverts_nor_extends_the_lease():
-    config_lease, clock = make_authority()
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(2), 0.0)
     clock.now_s = 4.9
     assert not config_lease.install(make_table(1), 4.9)
@@ -70,7 +70,7 @@
 
 
 def test_confirmation_of_another_version_does_not_extend_the_lease():
-    config_lease, clock = make_authority()
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(2), 0.0)
     clock.now_s = 4.0
     assert not config_lease.confirm(3, 4.0)
@@ -80,7 +80,7 @@
 
 
 def test_late_answer_does_not_shorten_the_lease():
-    config_lease, clock = make_authority()
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(1), 3.0)
     config_lease.install(make_table(1), 1.0)
     clock.now_s = 7.0
@@ -103,12 +103,12 @@
     assert virtualloop.run(main()) == (1, None)
 
 
-def test_no_order_of_events_uses_a_key_after_the_bound():
-    """Walks every order of a small model of the lease.
+def test_revoked_key_is_unusable_after_the_bound_in_any_order_of_events():
+    """Explores every order of events in a small model of the lease.
 
-    The store acknowledges a removal at some moment; reads are sent, answered
-    late or never, and the instance may be frozen at any step. Time moves in
-    whole seconds.
+    The store acknowledges the revocation of a key at some second. Reads are
+    answered at once, late or not at all, and the instance may be frozen for a
+    while. Time advances in whole seconds.
     """
     reads = ("none", "quick", "late")
     longest_s = 16
@@ -116,26 +116,26 @@
     for removed_s in range(1, 8):
         for plan in itertools.product(reads, repeat=4):
             for frozen_s in (0, 3, 6):
-                checked += walk(removed_s, plan, frozen_s, longest_s)
+                checked += simulate(removed_s, plan, frozen_s, longest_s)
     assert checked > 5_000
 
 
-def walk(removed_s, plan, frozen_s, longest_s):
-    """Plays one order and returns the number of moments looked at."""
-    config_lease, clock = make_authority()
+def simulate(removed_s, plan, frozen_s, longest_s):
+    """Simulates one order of events and returns the number of checks."""
+    config_lease, clock = make_config_lease()
     config_lease.install(make_table(1), 0.0)
     answers = {}
-    looked = 0
+    checks = 0
     for second in range(longest_s):
         clock.now_s = float(second)
         if frozen_s and 4 <= second < 4 + frozen_s:
             continue
-        for asked_s, table in answers.pop(second, []):
-            config_lease.install(table, asked_s)
-        # Answers that came in the freeze are taken in when it ends.
+        for sent_s, table in answers.pop(second, []):
+            config_lease.install(table, sent_s)
+        # Answers that arrived during the freeze are processed when it ends.
         for moment in [m for m in answers if m < second]:
-            for asked_s, table in answers.pop(moment):
-                config_lease.install(table, asked_s)
+            for sent_s, table in answers.pop(moment):
+                config_lease.install(table, sent_s)
         step = plan[second // 4] if second % 4 == 0 else "none"
         if step != "none":
             is_removed = second >= removed_s
@@ -143,10 +143,10 @@
             delay = 0 if step == "quick" else 3
             answers.setdefault(second + delay, []).append((second, table))
             if delay == 0:
-                for asked_s, found in answers.pop(second):
-                    config_lease.install(found, asked_s)
-        looked += 1
+                for sent_s, found in answers.pop(second):
+                    config_lease.install(found, sent_s)
+        checks += 1
         table = config_lease.find_valid()
         if table is not None and second > removed_s + 5:
             assert "k" not in table.keys, (removed_s, plan, frozen_s, second)
-    return looked
+    return checks
--- a/rhubarblock/exchange/state/differencewire.py
+++ b/rhubarblock/exchange/state/differencewire.py
@@ -1,4 +1,4 @@
-"""Changes of a configuration as text that one instance sends another."""
+"""Wire format of configuration deltas between instances."""
 
 import base64
 import json
@@ -6,13 +6,13 @@
 
 from rhubarblock.core import document as documents
 
-# Longest changes that are taken in, in bytes; a whole configuration of ten
-# thousand routes has a third of it.
-MOST_BYTES = 16_000_000
+# Largest accepted delta in bytes; a whole configuration of ten thousand routes
+# has a third of it.
+MAX_BYTES = 16_000_000
 
 
 def encode(difference: documents.Difference) -> str:
-    """Returns a difference as compressed text."""
+    """Encodes a delta as compressed text."""
     fields = {
         "before": _write_identity(difference.before),
         "after": _write_identity(difference.after),
@@ -23,15 +23,15 @@
 
 
 def decode(text: str) -> documents.Difference:
-    """Reads what ``encode`` wrote.
+    """Decodes a delta.
 
     Raises:
-      ValueError: it can't be read.
+      ValueError: the text can't be decoded.
     """
     try:
         packed = base64.b64decode(text, validate=True)
         unpacker = zlib.decompressobj()
-        content = unpacker.decompress(packed, MOST_BYTES)
+        content = unpacker.decompress(packed, MAX_BYTES)
         if not unpacker.eof:
             raise ValueError("the changes are cut off or too long")
         fields = json.loads(content)
--- a/rhubarblock/exchange/state/differencewire_test.py
+++ b/rhubarblock/exchange/state/differencewire_test.py
@@ -1,4 +1,4 @@
-"""Changes of a configuration on their way between instances."""
+"""Encoding of configuration deltas between instances."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from rhubarblock.exchange.state import differencewire
 
 
-def test_text_of_a_difference_is_read_back():
+def test_delta_survives_encoding():
     change = documents.Difference(
         documents.Identity(3, 10),
         documents.Identity(5, 2**127),
@@ -17,12 +17,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "%", "AAAA", "eJyLjgUAARUAuQ=="])
-def test_text_that_is_no_difference_is_an_error(text):
+def test_malformed_delta_is_an_error(text):
     with pytest.raises(ValueError):
         differencewire.decode(text)
 
 
-def test_text_that_was_cut_off_is_an_error():
+def test_truncated_delta_is_an_error():
     change = documents.compare(documents.EMPTY, 1, {"a": "x" * 100})
     with pytest.raises(ValueError):
         differencewire.decode(differencewire.encode(change)[:-8])
--- a/rhubarblock/exchange/state/directory.py
+++ b/rhubarblock/exchange/state/directory.py
@@ -1,9 +1,10 @@
-"""The endpoints that this instance knows, followed through the store's list.
+"""The endpoints known to this instance, from the store's list.
 
-The list says who is there and who leaves. What it says lags, and it may be
-out of reach, so the word of an endpoint itself counts too: one that said that
-it leaves is not used again, whatever list names it, until a new start of it
-comes; one that said that it is another one until the list names it anew.
+The list contains the endpoints and marks those that drain. It lags and may be
+unreachable, so what an endpoint states about itself counts too. An endpoint
+that announced that it leaves is not used again until it restarts, even if a
+list still names it. One whose address turned out to belong to another endpoint
+is not used until the list names it again.
 """
 
 import collections
@@ -16,18 +17,19 @@
 from rhubarblock.kernel import logs
 from rhubarblock.kernel import timers as timer_service
 
-# Seconds for which an endpoint that vanished from a new listing is still
-# counted as there: entries that lapsed while the store was down come back
-# within two seconds of its return.
-RETURN_S = 2.0
+# Seconds for which an endpoint that a new list lacks is still kept: entries
+# that expired while the store was down are written again within two seconds of
+# its recovery.
+REREGISTER_S = 2.0
 
-# Ended endpoints of which it is remembered whether they had left.
-KEPT_ENDED = 4096
-# Part of the time in which a leaving endpoint may get new work for which it is
-# used if its service has no other. The list may have told it to others before.
-LAST_RESORT_PART = 0.5
+# Number of removed endpoints for which it is kept whether they had left.
+MAX_ENDED = 4096
+# Fraction of the time in which a leaving endpoint accepts new work for which it
+# is used if its service has no other. Others may have learned earlier from the
+# list that it leaves.
+LAST_RESORT_FRACTION = 0.5
 
-# Endpoints by service and data centre.
+# Numbers of endpoints by service and data centre.
 Sizes = dict[str, dict[str, int]]
 
 _logger = logging.getLogger(__name__)
@@ -35,14 +37,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """An endpoint and what was seen of it.
+    """An endpoint and its observed state.
 
     Attributes:
-      listed: what the list says.
-      draining: whether it wants no new work; this never goes back.
-      missing_since_s: when a new listing lacked it, in monotonic seconds.
-      last_resort_s: until when it is used although it leaves if its service has
-        no other endpoint, in monotonic seconds.
+      listed: its entry in the list.
+      draining: whether it takes no new work; never reset.
+      missing_since_s: when a new list first lacked it, in monotonic seconds.
+      last_resort_s: until when it is used while leaving if its service has no
+        other endpoint, in monotonic seconds.
     """
 
     listed: lists.ListedEndpoint
@@ -53,11 +55,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Ended:
-    """What is kept of an endpoint that is not listed any more.
+    """What is kept of an endpoint that is no longer listed.
 
     Attributes:
-      born_ms: when it started, as far as it is known.
-      has_left: whether it wanted no new work.
+      born_ms: its start time in Unix milliseconds; 0 if unknown.
+      has_left: whether it took no new work.
     """
 
     born_ms: int
@@ -68,9 +70,9 @@
     """Endpoints by id.
 
     Attributes:
-      number: rises with each change, so that what was derived can be kept.
-      on_restart: called with the id of an endpoint that started again under
-        it, so that nothing known of the earlier start is held against it.
+      number: change number, for caches of derived data.
+      on_restart: called with the id of an endpoint that restarted under the
+        same id, so that state of the earlier start is dropped.
     """
 
     __slots__ = (
@@ -78,8 +80,8 @@
         "_drain_s",
         "_ended",
         "_endpoints",
-        "_returned_s",
-        "_returns",
+        "_restored_s",
+        "_restores",
         "_services",
         "_sizes",
         "_timers",
@@ -88,31 +90,32 @@
     )
 
     def __init__(self, timers: timer_service.Timers, drain_s: float = 0.0):
-        """Starts empty.
+        """Creates an empty directory.
 
         Args:
           timers: the clock.
-          drain_s: seconds for which an endpoint that said that it leaves may
-            get new work.
+          drain_s: seconds for which an endpoint that announced that it leaves
+            may get new work.
         """
         self._timers = timers
         self._drain_s = drain_s
         self._ended: dict[str, _Ended] = {}
-        # Returns of the store after which missing entries may be written again.
-        self._returns = 0
-        self._returned_s = -math.inf
+        # Number of recent restores of the store, after which missing entries
+        # may still be written again.
+        self._restores = 0
+        self._restored_s = -math.inf
         self.on_restart: Callable[[str], None] = lambda endpoint_id: None
         self._endpoints: dict[str, Endpoint] = {}
-        # The same endpoints by service, as each request asks for one service.
+        # The same endpoints by service, as each request needs one service.
         self._services: dict[str, dict[str, Endpoint]] = {}
-        # Sizes of the services where only a part of the list is known.
+        # Sizes of the services if only a subset of the list is known.
         self._sizes: Sizes = {}
-        # Derived from both; emptied by each change.
+        # Cache derived from both; cleared by each change.
         self._counts: Sizes = {}
         self.number = 0
 
     def replace(self, listing: list[lists.ListedEndpoint]) -> None:
-        """Takes in a whole listing."""
+        """Applies a whole list."""
         self._note_change()
         now_s = self._timers.read_monotonic()
         present = {entry.endpoint_id for entry in listing}
@@ -125,33 +128,33 @@
             self.update(entry)
         self.expire()
 
-    def note_return(self) -> None:
-        """Takes in that the store came back older.
+    def note_store_restore(self) -> None:
+        """Handles that the store was restored from an older copy.
 
-        It lacks entries that were written since; those who live write them
-        again, and are used until they had the time for that. Entries that had
-        been missing before are not among these.
+        The store lacks entries that were written after the copy. Live endpoints
+        write theirs again, and endpoints are used until they had time to do so.
+        This does not apply to entries that were missing before the restore.
         """
         now_s = self._timers.read_monotonic()
         for endpoint in self._endpoints.values():
-            if self._returns and self._may_return(endpoint):
+            if self._restores and self._may_reregister(endpoint):
                 endpoint.missing_since_s = now_s
-        self._returned_s = now_s
-        self._returns += 1
+        self._restored_s = now_s
+        self._restores += 1
         self._note_change()
-        self._timers.call_later(RETURN_S, self._end_return)
+        self._timers.call_later(REREGISTER_S, self._end_restore)
 
-    def _may_return(self, endpoint: Endpoint) -> bool:
-        """Says whether an entry is missing since the store's last return."""
+    def _may_reregister(self, endpoint: Endpoint) -> bool:
+        """Returns whether an entry is missing since the last restore."""
         since_s = endpoint.missing_since_s
-        return since_s is not None and since_s >= self._returned_s
+        return since_s is not None and since_s >= self._restored_s
 
-    def _end_return(self) -> None:
-        self._returns -= 1
+    def _end_restore(self) -> None:
+        self._restores -= 1
         self._note_change()
 
     def update(self, entry: lists.ListedEndpoint) -> None:
-        """Takes in one entry of the list, unless it tells of an older start."""
+        """Applies one entry of the list unless it is of an older start."""
         self._note_change()
         known = self._endpoints.get(entry.endpoint_id)
         if known is not None and entry.born_ms < known.listed.born_ms:
@@ -174,7 +177,7 @@
             self._log(entry, "ready", True)
 
     def _add(self, entry: lists.ListedEndpoint) -> None:
-        """Takes in an endpoint that is not known, unless a later start was."""
+        """Adds an unknown endpoint unless a later start was known."""
         ended = self._ended.get(entry.endpoint_id)
         if ended is not None and entry.born_ms < ended.born_ms:
             return
@@ -190,13 +193,13 @@
         self._log(entry, "unknown", endpoint.draining)
 
     def note_leaving(self, entry: lists.ListedEndpoint) -> bool:
-        """Takes in that an endpoint itself said that it leaves.
+        """Handles an endpoint's own announcement that it leaves.
 
         Args:
-          entry: the endpoint as it was listed when it was asked.
+          entry: the endpoint as it was listed when the request was sent.
 
         Returns:
-          Whether that is news.
+          Whether that was unknown.
         """
         name = entry.endpoint_id
         known = self._endpoints.get(name)
@@ -206,11 +209,11 @@
                 ended.has_left or ended.born_ms > entry.born_ms
             ):
                 return False
-            self._keep_ended(name, _Ended(entry.born_ms, True))
+            self._remember_ended(name, _Ended(entry.born_ms, True))
             return True
         if known.draining or entry.born_ms < known.listed.born_ms:
             return False
-        last_s = LAST_RESORT_PART * self._drain_s
+        last_s = LAST_RESORT_FRACTION * self._drain_s
         known.draining = True
         known.last_resort_s = self._timers.read_monotonic() + last_s
         self._note_change()
@@ -219,54 +222,54 @@
         return True
 
     def is_closed(self, endpoint_id: str) -> bool:
-        """Says whether an endpoint wants no new work at this moment."""
+        """Returns whether an endpoint takes no new work now."""
         known = self._endpoints.get(endpoint_id)
         if known is None or not known.draining:
             return False
         return self._timers.read_monotonic() >= known.last_resort_s
 
     def remove(self, endpoint_id: str) -> None:
-        """Forgets an endpoint whose entry was removed."""
+        """Removes an endpoint whose entry was removed."""
         self._note_change()
-        gone = self._endpoints.pop(endpoint_id, None)
-        if gone is not None:
-            del self._services[gone.listed.service][endpoint_id]
-            ended = _Ended(gone.listed.born_ms, gone.draining)
-            self._keep_ended(endpoint_id, ended)
+        removed = self._endpoints.pop(endpoint_id, None)
+        if removed is not None:
+            del self._services[removed.listed.service][endpoint_id]
+            ended = _Ended(removed.listed.born_ms, removed.draining)
+            self._remember_ended(endpoint_id, ended)
             logs.log_state_change(
                 _logger, f"endpoint {endpoint_id}", "listed", "gone"
             )
 
-    def _keep_ended(self, endpoint_id: str, ended: _Ended) -> None:
-        """Remembers an endpoint, and forgets the one that ended first."""
+    def _remember_ended(self, endpoint_id: str, ended: _Ended) -> None:
+        """Keeps a record of a removed endpoint and evicts the oldest."""
         self._ended.pop(endpoint_id, None)
         self._ended[endpoint_id] = ended
-        if len(self._ended) > KEPT_ENDED:
+        if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
     def expire(self) -> None:
-        """Forgets endpoints that did not come back into the list."""
+        """Removes endpoints that did not reappear in the list."""
         now_s = self._timers.read_monotonic()
         for endpoint_id, endpoint in list(self._endpoints.items()):
             since_s = endpoint.missing_since_s
-            if since_s is not None and now_s - since_s >= RETURN_S:
+            if since_s is not None and now_s - since_s >= REREGISTER_S:
                 self.remove(endpoint_id)
 
     def find(self, endpoint_id: str) -> lists.ListedEndpoint | None:
-        """Returns an endpoint that is known."""
+        """Returns an endpoint, or None if it is unknown."""
         endpoint = self._endpoints.get(endpoint_id)
         return endpoint.listed if endpoint else None
 
     def list_ids(self) -> set[str]:
-        """Returns the ids of all endpoints that are known."""
+        """Returns the ids of all known endpoints."""
         return set(self._endpoints)
 
     def count(self, service: str, data_centre: str | None = None) -> int:
-        """Returns how many endpoints a service has, known here or not.
+        """Returns the number of endpoints of a service, known here or not.
 
         Args:
-          service: the service.
-          data_centre: counts only those there, or all.
+          service: name of the service.
+          data_centre: counts only endpoints there; None counts all.
         """
         by_centre = self._count_centres(service)
         if data_centre is not None:
@@ -274,22 +277,22 @@
         return sum(by_centre.values())
 
     def count_services(self) -> Sizes:
-        """Returns how many endpoints each service has."""
+        """Returns the number of endpoints of each service."""
         names = {*self._services, *self._sizes}
         return {name: self._count_centres(name) for name in names}
 
-    def tell_sizes(self, sizes: Sizes) -> None:
-        """Takes in how many endpoints each service has.
+    def set_sizes(self, sizes: Sizes) -> None:
+        """Sets the number of endpoints of each service.
 
         Args:
-          sizes: none where the whole list is known.
+          sizes: the numbers; empty if the whole list is known.
         """
         if sizes != self._sizes:
             self._sizes = dict(sizes)
             self._note_change()
 
     def _count_centres(self, service: str) -> dict[str, int]:
-        """Returns how many endpoints of a service each data centre has."""
+        """Returns the number of endpoints of a service by data centre."""
         counts = self._counts.get(service)
         if counts is None:
             counts = self._counts[service] = self._sum_centres(service)
@@ -300,10 +303,10 @@
             endpoint.listed.data_centre
             for endpoint in self._services.get(service, {}).values()
         )
-        told = self._sizes.get(service, {})
+        stated = self._sizes.get(service, {})
         return {
-            centre: max(known[centre], told.get(centre, 0))
-            for centre in {*known, *told}
+            centre: max(known[centre], stated.get(centre, 0))
+            for centre in {*known, *stated}
         }
 
     def _note_change(self) -> None:
@@ -313,12 +316,13 @@
     def list_usable(self, service: str) -> list[lists.ListedEndpoint]:
         """Returns the endpoints of a service that take new work.
 
-        Entries that a new listing lacks are left out while most are there:
-        they ended, as far as anyone knows. Where most lack, the entries lapsed
-        because the store was away, and the endpoints are used until they had
-        the time to come back; so it is when the store came back older. Where
-        all leave, those that said so themselves
-        are used for some of the time that they still serve.
+        Endpoints whose entries a new list lacks are left out if most entries
+        are present: they have presumably ended. If most entries are missing,
+        they expired because the store was unavailable, and the endpoints are
+        used until they had time to register again. The same holds after the
+        store was restored from an older copy. If all endpoints leave, those
+        that announced it themselves are used for part of the time in which they
+        still serve.
         """
         pool = self._services.get(service, {}).values()
         usable = [endpoint for endpoint in pool if not endpoint.draining]
@@ -326,8 +330,8 @@
             now_s = self._timers.read_monotonic()
             usable = [e for e in pool if now_s < e.last_resort_s]
         present = [e for e in usable if e.missing_since_s is None]
-        if self._returns:
-            present += [e for e in usable if self._may_return(e)]
+        if self._restores:
+            present += [e for e in usable if self._may_reregister(e)]
         chosen = present if 2 * len(present) >= len(usable) else usable
         return [endpoint.listed for endpoint in chosen]
 
--- a/rhubarblock/exchange/state/directory_test.py
+++ b/rhubarblock/exchange/state/directory_test.py
@@ -25,7 +25,7 @@
     return sorted(e.endpoint_id for e in directory.list_usable("pool"))
 
 
-def test_draining_endpoint_gets_no_more_work_and_does_not_come_back():
+def test_draining_endpoint_stays_unusable():
     directory = directories.Directory(Timers())
     directory.replace([A, B])
     directory.update(dataclasses.replace(A, draining=True))
@@ -34,14 +34,14 @@
     assert usable(directory) == ["b"]
 
 
-def test_removed_endpoint_is_gone_at_once():
+def test_removed_endpoint_is_unusable_at_once():
     directory = directories.Directory(Timers())
     directory.replace([A, B])
     directory.remove("a")
     assert usable(directory) == ["b"]
 
 
-def test_entries_that_lapsed_with_the_store_may_come_back():
+def test_expired_entries_may_reappear_after_a_store_outage():
     timers = Timers()
     directory = directories.Directory(timers)
     directory.replace([A, B])
@@ -54,15 +54,16 @@
     assert usable(directory) == ["a"]
 
 
-def test_entry_that_a_listing_lacks_gets_no_work_while_most_are_there():
-    # An instance that was cut off lists anew when endpoints left meanwhile.
+def test_missing_entry_is_unusable_while_most_are_present():
+    # An instance that was cut off reads a new list; the endpoint has left
+    # meanwhile.
     directory = directories.Directory(Timers())
     directory.replace([A, B])
     directory.replace([B])
     assert usable(directory) == ["b"]
 
 
-def test_entries_that_stay_missing_are_gone_after_two_seconds():
+def test_missing_entries_are_removed_after_two_seconds():
     timers = Timers()
     directory = directories.Directory(timers)
     directory.replace([A, B])
@@ -75,7 +76,7 @@
     assert usable(directory) == []
 
 
-def test_address_used_again_by_another_service_is_another_endpoint():
+def test_reused_address_is_another_endpoint():
     directory = directories.Directory(Timers())
     directory.replace([A])
     directory.remove("a")
@@ -84,7 +85,7 @@
     assert directory.find("a") is None
 
 
-def test_new_start_under_the_same_id_is_another_endpoint():
+def test_restart_under_the_same_id_clears_the_drain():
     directory = directories.Directory(Timers())
     restarted = []
     directory.on_restart = restarted.append
@@ -96,14 +97,14 @@
     assert restarted == ["a"]
 
 
-def test_entry_of_an_older_start_that_comes_late_changes_nothing():
+def test_late_entry_of_an_older_start_is_ignored():
     directory = directories.Directory(Timers())
     directory.update(dataclasses.replace(A, born_ms=2_000))
     directory.update(dataclasses.replace(A, born_ms=1_000, draining=True))
     assert usable(directory) == ["a"]
 
 
-def test_same_start_does_not_take_back_that_it_leaves():
+def test_drain_of_one_start_is_never_reset():
     directory = directories.Directory(Timers())
     started = dataclasses.replace(A, born_ms=1_000)
     directory.update(dataclasses.replace(started, draining=True))
@@ -112,7 +113,7 @@
 
 
 @pytest.mark.parametrize("born_ms", [0, 1_000])
-def test_endpoint_that_said_that_it_leaves_is_not_brought_back(born_ms):
+def test_announced_leave_outranks_later_lists(born_ms):
     timers = Timers()
     directory = directories.Directory(timers)
     started = dataclasses.replace(A, born_ms=born_ms)
@@ -120,10 +121,10 @@
     assert directory.note_leaving(started)
     assert not directory.note_leaving(started)
     assert usable(directory) == ["b"]
-    # The list lags, or comes from a peer that knows less.
+    # The list lags, or is of a peer that is behind.
     directory.update(started)
     assert usable(directory) == ["b"]
-    # Its entry lapses while the store is away, and comes back.
+    # Its entry expires while the store is down, and reappears.
     directory.replace([B])
     timers.now_s = 3.0
     directory.expire()
@@ -135,7 +136,7 @@
     assert usable(directory) == ["b"]
 
 
-def test_endpoint_that_the_list_called_draining_is_not_brought_back():
+def test_listed_drain_outlasts_a_removal():
     directory = directories.Directory(Timers())
     directory.replace([dataclasses.replace(A, draining=True), B])
     directory.remove("a")
@@ -143,7 +144,7 @@
     assert usable(directory) == ["b"]
 
 
-def test_late_word_of_an_endpoint_that_is_gone_counts():
+def test_leave_announced_after_the_removal_counts():
     directory = directories.Directory(Timers())
     directory.replace([A, B])
     directory.remove("a")
@@ -152,7 +153,7 @@
     assert usable(directory) == ["b"]
 
 
-def test_new_start_of_an_endpoint_that_left_takes_work():
+def test_restart_of_an_endpoint_that_left_is_usable():
     directory = directories.Directory(Timers())
     restarted = []
     directory.on_restart = restarted.append
@@ -164,14 +165,14 @@
     directory.update(second)
     assert usable(directory) == ["a", "b"]
     assert restarted == ["a"]
-    # What the first start said, and its entry, come late.
+    # The announcement and the entry of the first start arrive late.
     assert not directory.note_leaving(first)
     directory.remove("a")
     directory.update(first)
     assert usable(directory) == ["b"]
 
 
-def test_endpoints_that_all_leave_are_used_for_part_of_the_time():
+def test_leaving_endpoints_are_a_last_resort_for_a_while():
     timers = Timers()
     directory = directories.Directory(timers, drain_s=2.0)
     directory.replace([A, B])
@@ -186,7 +187,7 @@
     assert usable(directory) == []
 
 
-def test_endpoints_that_the_list_calls_draining_are_no_last_resort():
+def test_listed_drain_is_no_last_resort():
     directory = directories.Directory(Timers(), drain_s=2.0)
     directory.replace([A])
     directory.note_leaving(A)
@@ -194,8 +195,8 @@
     assert (usable(directory), directory.is_closed("a")) == ([], True)
 
 
-def test_ended_endpoints_are_forgotten_at_last(monkeypatch):
-    monkeypatch.setattr(directories, "KEPT_ENDED", 1)
+def test_records_of_ended_endpoints_are_limited(monkeypatch):
+    monkeypatch.setattr(directories, "MAX_ENDED", 1)
     directory = directories.Directory(Timers())
     directory.replace([A, B])
     directory.note_leaving(A)
@@ -205,24 +206,24 @@
     assert usable(directory) == ["a"]
 
 
-def test_entry_that_was_missing_before_the_store_returned_older_is_not_used():
+def test_entry_missing_before_a_restore_is_unusable():
     timers = Timers()
     directory = directories.Directory(timers)
     directory.replace([A, B])
     directory.replace([B])
     timers.now_s = 0.5
-    directory.note_return()
+    directory.note_store_restore()
     directory.replace([B])
     assert usable(directory) == ["b"]
 
 
-def test_entry_that_two_returns_lost_has_the_time_of_the_second_to_come_back():
+def test_entry_lost_in_two_restores_may_reappear_after_the_second():
     timers = Timers()
     directory = directories.Directory(timers)
     directory.replace([A, B])
     for now_s in (0.0, 1.9):
         timers.now_s = now_s
-        directory.note_return()
+        directory.note_store_restore()
         directory.replace([B])
     timers.now_s = 3.8
     directory.expire()
--- a/rhubarblock/exchange/state/entrywire.py
+++ b/rhubarblock/exchange/state/entrywire.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints as they go from one instance to another."""
+"""Wire format of endpoint entries between instances."""
 
 import base64
 from typing import Any
@@ -8,23 +8,23 @@
 
 
 def encode(stored: stores.StoredObject) -> list[Any]:
-    """Returns an entry without its era, which the whole answer names."""
+    """Encodes an entry without its era, which the answer contains once."""
     value = base64.b64encode(stored.value).decode()
     return [stored.name, stored.version.revision, value, stored.deleted]
 
 
 def decode(fields: list[Any], era: int) -> stores.StoredObject:
-    """Returns an entry of an answer.
+    """Decodes an entry of an answer.
 
     Args:
-      fields: as ``encode`` made them.
+      fields: output of ``encode``.
       era: era of the store in which the answer's list was read.
 
     Raises:
-      ValueError: they can't be read.
+      ValueError: they can't be decoded.
     """
     name, revision, value, deleted = fields
-    # A removal that nobody saw has no position of its own.
+    # A removal that was inferred from a list has no position.
     version = positions.NOWHERE
     if revision:
         version = positions.Position(era, revision)
--- a/rhubarblock/exchange/state/erawalk_test.py
+++ b/rhubarblock/exchange/state/erarestores_test.py
@@ -1,8 +1,8 @@
-"""A random walk of a store that comes back older, and of what follows it.
+"""Stateful property test of restores of the store from older copies.
 
-A reader lists and watches the store and a follower asks the reader, both at
-their usual pace. Whatever the walk does, a configuration never reverts, what
-lives is used, and what left is not.
+A reader lists and watches the store, and a follower polls the reader. In any
+sequence of events, a configuration never reverts, live endpoints are used, and
+endpoints that left are not.
 """
 
 import heapq
@@ -19,25 +19,26 @@
 from rhubarblock.exchange.state import feed_test as fakes
 from rhubarblock.store import store as stores
 
-# More engines than the walk starts, so that everybody uses all.
+# More engines than are ever started, so that every instance uses all.
 ENGINES = 1_000
-# Seconds between two looks at the store, and at the reader.
-PACE_S = 0.5
+# Interval of polling the store and the reader, and of the simulation, in
+# seconds.
+POLL_S = 0.5
 STEP_S = 0.1
-# Seconds after a return within which everybody writes again what is his, and
+# Seconds after a restore within which every owner writes its entries again, and
 # after which the store has removed entries that nobody renews.
 REWRITE_S = 2.0
 RENEW_S = 3.6
-# Seconds for which a server that drains stays listed.
+# Seconds for which a draining server stays listed.
 SERVE_S = 8.0
-# Seconds within which a change must have reached both.
-REACH_S = 2 * PACE_S + STEP_S
-# Seconds that a copy is old at most.
+# Seconds within which a change must have reached both instances.
+REACH_S = 2 * POLL_S + STEP_S
+# Largest age of a copy in seconds.
 COPY_S = 5.0
 
 
-class WalkTimers:
-    """A clock that the walk moves."""
+class ManualTimers:
+    """A clock that the test advances."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -59,8 +60,8 @@
         self.now_s = end_s
 
 
-class WalkStore:
-    """The store: objects with positions, a log and copies of itself."""
+class ModelStore:
+    """A store with positions, a change log and copies of itself."""
 
     def __init__(self, timers):
         self.timers = timers
@@ -69,7 +70,7 @@
         self.objects = {}
         self.log = []
         self.copies = []
-        self.returned_s = -100.0
+        self.restored_s = -100.0
 
     @property
     def position(self):
@@ -93,7 +94,7 @@
         self.copies.append((now_s, self.revision, dict(self.objects)))
         self.copies = [c for c in self.copies if c[0] >= now_s - COPY_S]
 
-    def come_back(self, number):
+    def restore(self, number):
         _, self.revision, objects = self.copies[number % len(self.copies)]
         self.era += 1
         self.objects = {
@@ -106,14 +107,14 @@
         }
         self.log = []
         self.copies = []
-        self.returned_s = self.timers.now_s
+        self.restored_s = self.timers.now_s
 
     def list_entries(self):
         return [o for n, o in self.objects.items() if n.startswith("servers/")]
 
 
-class WalkSide(fakes.Side):
-    """What one instance believes."""
+class ModelInstance(fakes.Instance):
+    """State of one instance, with what was observed of it."""
 
     def __init__(self, name, timers):
         super().__init__(name, timers, timers, ENGINES)
@@ -130,27 +131,28 @@
         self.eras.listen(self.client.forget)
         self.highest = 0
         self.seen = set()
-        self.dropped = set()
+        self.unused = set()
 
 
-class EraWalk(stateful.RuleBasedStateMachine):
-    """The walk; servers are named by numbers and never start again."""
+class RestoreMachine(stateful.RuleBasedStateMachine):
+    """The state machine; servers have unique names and never restart."""
 
     def __init__(self):
         super().__init__()
-        self.timers = WalkTimers()
-        self.store = WalkStore(self.timers)
-        self.reader = WalkSide("r.1", self.timers)
-        self.follower = WalkSide("f.1", self.timers)
-        self.mark = statefeed.Mark()
+        self.timers = ManualTimers()
+        self.store = ModelStore(self.timers)
+        self.reader = ModelInstance("r.1", self.timers)
+        self.follower = ModelInstance("f.1", self.timers)
+        self.cursor = statefeed.ListCursor()
         self.version = 0
         self.written_s = 0.0
         self.numbers = itertools.count()
-        # What each server last wrote, and when; those that left, and when.
+        # Start times of the live servers, and the servers that drained.
         self.live = {}
         self.draining = set()
-        # When the store last said of each that it doesn't leave.
-        self.said_s = {}
+        # When the store last listed each server that left as ready, and when it
+        # left.
+        self.listed_ready_s = {}
         self.left = {}
         self.pending = {}
         self.watched = None
@@ -174,7 +176,7 @@
 
     @stateful.rule()
     def renew_entries(self):
-        """Entries change, so that copies are many revisions behind."""
+        """Changes entries, so that copies are many revisions behind."""
         for _ in range(5):
             for name in self.live.keys() - self.pending.keys():
                 self.store.put(name, b"ready")
@@ -187,7 +189,7 @@
         name = sorted(self.live)[number % len(self.live)]
         del self.live[name]
         self.pending.pop(name, None)
-        self.left[name] = self.said_s[name] = self.timers.now_s
+        self.left[name] = self.listed_ready_s[name] = self.timers.now_s
         if drains:
             self.draining.add(name)
             self.store.put(name, b"draining")
@@ -195,30 +197,31 @@
             self.store.remove(name)
 
     @stateful.rule(number=strategies.integers(0, 99))
-    def come_back(self, number):
-        """The store is there again, some seconds older."""
+    def restore(self, number):
+        """Restores the store from a copy that is some seconds old."""
         if not self.store.copies or self.pending:
             return
         self.late.append((self.store.position, self.store.list_entries()))
-        self.store.come_back(number)
+        self.store.restore(number)
         now_s = self.timers.now_s
         for name in [*self.live, "config/main"]:
             self.pending[name] = now_s + REWRITE_S
         for name in self.draining & self.store.objects.keys():
-            # It serves for a while yet, and says so again.
+            # A draining server still serves for a while and writes its entry
+            # again.
             self.pending[name] = now_s + REWRITE_S
 
     @stateful.precondition(lambda self: self.late)
     @stateful.rule(number=strategies.integers(0, 9))
-    def hear_late_answer(self, number):
-        """An answer of an ended era comes on another connection."""
+    def receive_late_answer(self, number):
+        """Delivers a late answer of an ended era."""
         at, objects = self.late[number % len(self.late)]
-        for side in (self.reader, self.follower):
+        for instance in (self.reader, self.follower):
             try:
-                side.eras.take(at.era)
+                instance.eras.take(at.era)
             except stores.StoreError:
                 continue
-            side.replica.take_listing(objects, at=at)
+            instance.replica.apply_listing(objects, at=at)
 
     @stateful.rule(tenths=strategies.integers(1, 40))
     def pass_time(self, tenths):
@@ -227,11 +230,11 @@
             self.store.copy()
             self._write_again()
             self._remove_unrenewed()
-            self._note_said()
+            self._note_listed_ready()
             step = round(self.timers.now_s / STEP_S)
-            if step % round(PACE_S / STEP_S) == 0:
+            if step % round(POLL_S / STEP_S) == 0:
                 self._read()
-                self._ask()
+                self._poll()
             self.check()
 
     def _put_configuration(self):
@@ -252,7 +255,7 @@
                 self.store.put(name, value)
 
     def _remove_unrenewed(self):
-        if self.timers.now_s < self.store.returned_s + RENEW_S:
+        if self.timers.now_s < self.store.restored_s + RENEW_S:
             return
         for name, left_s in self.left.items():
             lasts_s = SERVE_S if name in self.draining else RENEW_S
@@ -260,102 +263,105 @@
                 self.store.remove(name)
 
     def _read(self):
-        """Reads as the follower of the store does."""
-        side = self.reader
-        side.eras.take(self.store.era)
+        """Reads the store as StoreFollower does."""
+        instance = self.reader
+        instance.eras.take(self.store.era)
         value = self.store.objects.get("config/main")
         if value is not None:
-            side.replica.take_configuration(
+            instance.replica.apply_configuration(
                 value.value, self.timers.now_s, self.store.era
             )
         if self.watched is None or self.watched.era != self.store.era:
             entries = self.store.list_entries()
-            side.replica.take_listing(entries, at=self.store.position)
+            instance.replica.apply_listing(entries, at=self.store.position)
         else:
             for stored in self.store.log:
                 is_entry = stored.name.startswith("servers/")
                 if is_entry and stored.version > self.watched:
-                    side.replica.take_change(stored)
+                    instance.replica.apply_change(stored)
         self.watched = self.store.position
 
-    def _ask(self):
-        """Asks the reader as the feed does, without its sockets."""
+    def _poll(self):
+        """Polls the reader as StateClient does, without sockets."""
         if not self.reader.server._has_state():
             return
-        side = self.follower
+        instance = self.follower
         fields = json.loads(
             json.dumps(
-                self.reader.server._describe(
-                    side.replica.identity, self.mark.number, "f", "osu"
+                self.reader.server._make_answer(
+                    instance.replica.identity, self.cursor.number, "f", "osu"
                 )
             )
         )
         confirmed_s = self.timers.now_s - fields["age_s"]
-        before = side.eras.current
+        before = instance.eras.current
         try:
-            era = side.client._take_era(fields)
+            era = instance.client._check_era(fields)
             if before not in (0, era):
-                # Marks are forgotten with the era.
-                self.mark = statefeed.Mark()
-            side.client._take(fields, self.mark, confirmed_s, era)
+                # Cursors are reset with the era.
+                self.cursor = statefeed.ListCursor()
+            instance.client._apply(fields, self.cursor, confirmed_s, era)
         except stores.StoreError:
             pass
 
     def check(self):
         now_s = self.timers.now_s
-        for side in (self.reader, self.follower):
-            version = side.config_lease.version
-            assert version >= side.highest, "the configuration reverted"
-            side.highest = version
+        for instance in (self.reader, self.follower):
+            version = instance.config_lease.version
+            assert version >= instance.highest, "the configuration reverted"
+            instance.highest = version
             if now_s > self.written_s + REACH_S and not self.pending:
                 assert version == self.version
             if not version:
                 continue
-            usable = {f"servers/{name}" for name in side.usable()}
-            settled = {n for n in self.live if self._must_be_used(n, side)}
-            assert settled <= usable, "an endpoint that lives is dropped"
-            side.seen |= usable
-            gone = {n for n in self.left if self._must_be_left(n, side)}
-            assert not usable & gone, "an endpoint that left is used"
-            side.dropped |= self.left.keys() - usable
-
-    def _must_be_used(self, name, side):
-        """Whether an instance must use a server that lives.
-
-        One that is written again at the last moment may be missing until the
-        next look, and one that nobody had seen until it is written again.
+            usable = {f"servers/{name}" for name in instance.usable()}
+            expected = {n for n in self.live if self._must_be_used(n, instance)}
+            assert expected <= usable, "a live endpoint is not used"
+            instance.seen |= usable
+            departed = {
+                n for n in self.left if self._must_be_unused(n, instance)
+            }
+            assert not usable & departed, "a departed endpoint is used"
+            instance.unused |= self.left.keys() - usable
+
+    def _must_be_used(self, name, instance):
+        """Returns whether an instance must use a live server.
+
+        A server that is written again at the last moment may be missing until
+        the next poll, and one that was never seen until it is written again.
         """
         now_s = self.timers.now_s
         if now_s <= self.live[name] + REACH_S:
             return False
-        written_s = self.store.returned_s + REWRITE_S
+        written_s = self.store.restored_s + REWRITE_S
         if written_s - STEP_S <= now_s <= written_s + REACH_S:
             return False
-        return name in side.seen or name not in self.pending
+        return name in instance.seen or name not in self.pending
 
-    def _must_be_left(self, name, side):
-        """Whether an instance must not use a server that left.
+    def _must_be_unused(self, name, instance):
+        """Returns whether an instance must not use a server that left.
 
-        That is so from the time that it ceased to, and otherwise once the store
-        has said it for long enough. Shortly after a return what the store lacks
-        can't be told from what is yet to be written again.
+        That holds from when the instance first stopped using it, and otherwise
+        once the store has shown it for long enough. Shortly after a restore,
+        removed entries cannot be told from those that are yet to be written
+        again.
         """
-        if name in side.dropped:
+        if name in instance.unused:
             return True
         now_s = self.timers.now_s
-        if now_s <= self.store.returned_s + directories.RETURN_S + REACH_S:
+        if now_s <= self.store.restored_s + directories.REREGISTER_S + REACH_S:
             return False
-        return now_s > self.said_s[name] + REACH_S
+        return now_s > self.listed_ready_s[name] + REACH_S
 
-    def _note_said(self):
-        """Notes since when the store says of each server that it left."""
+    def _note_listed_ready(self):
+        """Records when the store last listed each departed server as ready."""
         for name in self.left:
             stored = self.store.objects.get(name)
             if stored is not None and stored.value == b"ready":
-                self.said_s[name] = self.timers.now_s
+                self.listed_ready_s[name] = self.timers.now_s
 
 
-EraWalk.TestCase.settings = hypothesis.settings(
+RestoreMachine.TestCase.settings = hypothesis.settings(
     max_examples=100, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestEraWalk = EraWalk.TestCase
+TestRestores = RestoreMachine.TestCase
--- a/rhubarblock/exchange/state/feed.py
+++ b/rhubarblock/exchange/state/feed.py
@@ -1,18 +1,18 @@
-"""Passes the state of the store on from one instance to another.
+"""Replicates the state of the store from one instance to another.
 
-An instance that reads the store answers its peers with what is new to them
-and with the age of its last confirmation. The age travels as a duration and
-the asking instance counts it from the moment at which it asked, so neither the
-way nor a freeze on either side can make the state seem younger than it is.
+An instance that reads the store serves its peers the changes that they lack and
+the age of its last confirmation. The age is sent as a duration, and the
+requester counts it from the time of its request, so neither network delay nor a
+freeze on either side can make the state seem fresher than it is.
 
-Of the configuration only what changed since the asker's version is passed on,
-compressed once for all who ask from there: a version with thousands of routes
-would else fill the link of a small instance. A change that does not lead from
-the asker's content to the reader's is left out whole and the asker wants the
+The configuration is sent as a delta from the requester's version, encoded once
+for all requesters with that version: whole versions with thousands of routes
+would saturate the link of a small instance. A delta that does not lead from the
+requester's content to the server's is discarded, and the requester asks for the
 whole configuration next time.
 
-Of a long list of endpoints only those are passed on that the asking instance
-uses, and after that all changes: one that it uses must not leave unnoticed.
+Of a long list of endpoints only the requester's subset is sent, but afterwards
+all changes: an endpoint that it uses must not leave unnoticed.
 """
 
 import dataclasses
@@ -38,12 +38,12 @@
 from rhubarblock.store import sendonce
 from rhubarblock.store import store as stores
 
-# The number rises when the answers change; a peer that knows another one gives
-# no state, so that instances of two releases never misread each other.
+# The number increases when the format changes. A peer with another number
+# serves no state, so instances of different releases never misread each other.
 PATH = "/state/2"
-# Seconds for which an answer waits for news: the lease gets older by as much.
+# Seconds for which an answer waits for a change; the lease ages by as much.
 WAIT_S = 0.7
-# Seconds that an answer may take beyond that wait.
+# Timeout of an answer in seconds beyond that wait.
 ANSWER_S = 0.5
 CONNECT_S = 0.25
 
@@ -51,20 +51,20 @@
 
 
 class FeedError(Exception):
-    """A peer gave no state."""
+    """A peer served no state."""
 
 
-class OldStateError(FeedError):
-    """A peer answered with a state that is too old to be taken in."""
+class StaleStateError(FeedError):
+    """A peer answered with a state that is too old to be applied."""
 
 
 @dataclasses.dataclass(slots=True)
-class Mark:
-    """How far an instance has followed a peer.
+class ListCursor:
+    """Position in the list changes of a peer.
 
     Attributes:
-      source: names one start of the peer.
-      number: number of the latest change of its list that is known.
+      source: id of one start of the peer.
+      number: number of the latest known change of its list.
     """
 
     source: str = ""
@@ -72,7 +72,7 @@
 
 
 class StateServer:
-    """Answers peers."""
+    """Serves state to peers."""
 
     __slots__ = (
         "_config_lease",
@@ -80,7 +80,7 @@
         "_directory",
         "_encoded",
         "_eras",
-        "_encoded_for",
+        "_encoded_identity",
         "_metrics",
         "_source",
         "_subsets",
@@ -100,12 +100,12 @@
 
         Args:
           replica: the state.
-          config_lease: the age of the configuration.
-          directory: knows the sizes of services.
+          config_lease: version and age of the configuration.
+          directory: sizes of services.
           subsets_: which endpoints an instance uses.
-          source: names this start of this instance.
-          metrics: counts what is answered.
-          eras: knows whether the store came back older.
+          source: id of this start of this instance.
+          metrics: counters of answers.
+          eras: tracks whether the store was restored from an older copy.
         """
         self._eras = eras
         self._metrics = metrics
@@ -114,12 +114,12 @@
         self._directory = directory
         self._subsets = subsets_
         self._source = source
-        # Encoded changes up to one version, by the version they start from.
+        # Encoded deltas to one version, by the version from which they lead.
         self._encoded: dict[documents.Identity, str] = {}
-        self._encoded_for = documents.NOTHING
+        self._encoded_identity = documents.NOTHING
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one question, when there is news or the wait is over."""
+        """Answers one request after a change or the end of its wait."""
         if request.path != PATH:
             return web.Response(status=404)
         query = request.query
@@ -135,15 +135,15 @@
         if query.get("source") != self._source:
             number = 0
         if "era" not in query and self._eras.has_changed:
-            # A release without eras would take revisions for older ones.
+            # A release without eras would misjudge the order of revisions.
             return web.Response(status=503)
-        await self._replica.wait_news(
-            lambda: self._is_news(known.version, number), wait_s
+        await self._replica.wait_for_change(
+            lambda: self._has_changes(known.version, number), wait_s
         )
         if not self._has_state():
             return web.Response(status=503)
         text = json.dumps(
-            self._describe(
+            self._make_answer(
                 known,
                 number,
                 query.get("instance", ""),
@@ -160,53 +160,54 @@
             and self._replica.listed.is_set()
         )
 
-    def _is_news(self, version: int, number: int) -> bool:
+    def _has_changes(self, version: int, number: int) -> bool:
         if not self._has_state():
             return False
         if self._config_lease.version > version:
             return True
         return number == 0 or self._replica.number > number
 
-    def _is_new(self, known: documents.Identity) -> bool:
-        """Says whether an asker lacks the configuration in force here.
+    def _lacks_configuration(self, known: documents.Identity) -> bool:
+        """Returns whether a requester lacks the configuration in force here.
 
-        One of the same version may be another one since the store came back
-        older.
+        The same version may have other content after a restore of the store.
         """
         version = self._config_lease.version
         if version == known.version and known.digest:
             return self._replica.identity != known
         return version > known.version
 
-    def _describe(
+    def _make_answer(
         self,
         known: documents.Identity,
         number: int,
-        asker: str,
+        requester: str,
         data_centre: str,
     ) -> dict[str, Any]:
-        updates = self._replica.list_news(number)
-        objects = updates.objects
-        if updates.whole and asker:
-            objects = self._select_used(asker, data_centre, objects)
-        is_new = self._is_new(known)
+        changes = self._replica.list_changes(number)
+        objects = changes.objects
+        if changes.whole and requester:
+            objects = self._select_used(requester, data_centre, objects)
+        lacks_configuration = self._lacks_configuration(known)
         return {
             "source": self._source,
             "era": self._replica.era,
             "digest": f"{self._replica.identity.digest:x}",
             "age_s": self._config_lease.age_s,
             "version": self._config_lease.version,
-            "configuration": self._encode_changes(known) if is_new else None,
-            "number": updates.number,
-            "whole": updates.whole and self._replica.complete,
+            "configuration": self._encode_changes(known)
+            if lacks_configuration
+            else None,
+            "number": changes.number,
+            "whole": changes.whole and self._replica.complete,
             "sizes": self._directory.count_services(),
             "objects": [entrywire.encode(stored) for stored in objects],
         }
 
     def _encode_changes(self, known: documents.Identity) -> str:
-        """Returns the changes since a version, encoded once for all askers."""
-        if self._encoded_for != self._replica.identity:
-            self._encoded_for = self._replica.identity
+        """Returns the encoded delta from a version, from a cache."""
+        if self._encoded_identity != self._replica.identity:
+            self._encoded_identity = self._replica.identity
             self._encoded.clear()
         text = self._encoded.get(known)
         if text is None:
@@ -216,13 +217,13 @@
 
     def _select_used(
         self,
-        asker: str,
+        requester: str,
         data_centre: str,
         objects: tuple[stores.StoredObject, ...],
     ) -> tuple[stores.StoredObject, ...]:
-        """Returns the entries of endpoints that the asker uses."""
+        """Returns the entries of endpoints that the requester uses."""
         ids = [stored.name.rpartition("/")[2] for stored in objects]
-        used = self._subsets.list_used(asker, data_centre, ids)
+        used = self._subsets.list_used(requester, data_centre, ids)
         return tuple(
             stored
             for stored, endpoint_id in zip(objects, ids, strict=True)
@@ -231,7 +232,7 @@
 
 
 class StateClient:
-    """Asks peers."""
+    """Requests state from peers."""
 
     __slots__ = (
         "_config_lease",
@@ -239,11 +240,11 @@
         "_data_centre",
         "_directory",
         "_eras",
-        "_marks",
+        "_cursors",
         "_own_id",
         "_session",
         "_timers",
-        "_wants_whole",
+        "_needs_whole",
     )
 
     def __init__(
@@ -262,12 +263,12 @@
         Args:
           session: HTTP session to use.
           instance_id: name of this instance.
-          data_centre: where it runs.
-          replica: takes the state.
-          directory: takes the sizes of services.
+          data_centre: data centre of this instance.
+          replica: receives the state.
+          directory: receives the sizes of services.
           config_lease: clock and version of the configuration.
           timers: the clock.
-          eras: hears the era in which a peer read its state.
+          eras: tracks the eras in which peers read their state.
         """
         self._eras = eras
         self._own_id = instance_id
@@ -277,51 +278,51 @@
         self._replica = replica
         self._config_lease = config_lease
         self._timers = timers
-        self._marks: dict[str, Mark] = {}
-        # Whether the last changes did not fit.
-        self._wants_whole = False
+        self._cursors: dict[str, ListCursor] = {}
+        # Whether the last delta did not apply.
+        self._needs_whole = False
 
-    async def ask(
+    async def poll(
         self,
         address: str,
         wait_s: float = WAIT_S,
-        oldest_s: float = math.inf,
+        max_age_s: float = math.inf,
     ) -> None:
-        """Takes in what is new at a peer.
+        """Requests and applies what changed at a peer.
 
         Args:
           address: ``host:port`` of the peer.
-          wait_s: seconds that the peer may wait for news.
-          oldest_s: age in seconds from which its state is left alone.
+          wait_s: seconds for which the peer may wait for a change.
+          max_age_s: age in seconds from which its state is not applied.
 
         Raises:
-          OldStateError: its state is older.
-          FeedError: it gave no state.
+          StaleStateError: its state is too old.
+          FeedError: it served no state.
         """
-        mark = self._marks.setdefault(address, Mark())
-        asked_s = self._config_lease.read_clock()
-        fields = await self._fetch(address, mark, wait_s)
+        cursor = self._cursors.setdefault(address, ListCursor())
+        sent_s = self._config_lease.read_clock()
+        fields = await self._fetch(address, cursor, wait_s)
         try:
-            confirmed_s = asked_s - float(fields["age_s"])
+            confirmed_s = sent_s - float(fields["age_s"])
             age_s = self._config_lease.read_clock() - confirmed_s
-            if age_s >= oldest_s:
-                raise OldStateError(f"its state is {age_s:.2f} s old")
-            self._take(fields, mark, confirmed_s, self._take_era(fields))
-            if self._config_lease.age_s >= oldest_s < math.inf:
-                raise OldStateError("it holds an older configuration")
+            if age_s >= max_age_s:
+                raise StaleStateError(f"its state is {age_s:.2f} s old")
+            self._apply(fields, cursor, confirmed_s, self._check_era(fields))
+            if self._config_lease.age_s >= max_age_s < math.inf:
+                raise StaleStateError("it holds an older configuration")
         except stores.StoreError as error:
             raise FeedError(str(error)) from error
         except (KeyError, TypeError, ValueError) as error:
             raise FeedError(f"the state can't be read: {error}") from error
 
-    def _take_era(self, fields: dict[str, Any]) -> int:
+    def _check_era(self, fields: dict[str, Any]) -> int:
         """Returns the era of a peer's state.
 
-        A release without eras names none, and is trusted as long as there was
-        no change of which it could not know.
+        A release without eras sends none. Its state is accepted as long as the
+        era has never changed.
 
         Raises:
-          store.StoreError: the state must not be taken in.
+          store.StoreError: the state must not be applied.
         """
         era = int(fields.get("era", 0)) or None
         if era is None and not self._eras.has_changed:
@@ -329,20 +330,20 @@
         return self._eras.take(era)
 
     def forget(self) -> None:
-        """Asks for whole lists from now on, as another source was used."""
-        self._marks.clear()
+        """Resets all cursors, as the list now comes from another source."""
+        self._cursors.clear()
 
     async def _fetch(
-        self, address: str, mark: Mark, wait_s: float
+        self, address: str, cursor: ListCursor, wait_s: float
     ) -> dict[str, Any]:
         known = (
-            documents.NOTHING if self._wants_whole else self._replica.identity
+            documents.NOTHING if self._needs_whole else self._replica.identity
         )
         query = {
             "version": str(known.version),
             "digest": f"{known.digest:x}",
-            "source": mark.source,
-            "number": str(mark.number),
+            "source": cursor.source,
+            "number": str(cursor.number),
             "wait_ms": str(round(wait_s * 1e3)),
             "instance": self._own_id,
             "data_centre": self._data_centre,
@@ -365,48 +366,52 @@
         except (aiohttp.ClientError, OSError, ValueError) as error:
             raise FeedError(str(error) or type(error).__name__) from error
 
-    def _take(
-        self, fields: dict[str, Any], mark: Mark, confirmed_s: float, era: int
+    def _apply(
+        self,
+        fields: dict[str, Any],
+        cursor: ListCursor,
+        confirmed_s: float,
+        era: int,
     ) -> None:
         objects = [entrywire.decode(entry, era) for entry in fields["objects"]]
         if fields["whole"]:
-            self._replica.take_listing(
+            self._replica.apply_listing(
                 objects, fields["sizes"], positions.Position(era)
             )
         else:
-            self._take_changes(objects, fields["sizes"])
-        mark.source = fields["source"]
-        mark.number = fields["number"]
-        self._take_configuration(fields, confirmed_s, era)
+            self._apply_changes(objects, fields["sizes"])
+        cursor.source = fields["source"]
+        cursor.number = fields["number"]
+        self._apply_configuration(fields, confirmed_s, era)
 
-    def _take_configuration(
+    def _apply_configuration(
         self, fields: dict[str, Any], confirmed_s: float, era: int
     ) -> None:
-        """Takes in the changes of the configuration, or that there are none.
+        """Applies the configuration delta, or confirms the present version.
 
         Raises:
-          ValueError: the changes don't fit; the whole is asked for next.
+          ValueError: the delta does not apply; the whole is requested next.
         """
         changes: str | None = fields["configuration"]
         if changes is None:
-            # A release without eras names no digest.
+            # A release without eras sends no digest.
             own = self._replica.identity
             digest = int(fields.get("digest", f"{own.digest:x}"), 16)
             if digest == own.digest:
                 self._config_lease.confirm(fields["version"], confirmed_s)
             return
-        self._wants_whole = True
+        self._needs_whole = True
         difference = differencewire.decode(changes)
-        self._replica.take_difference(difference, confirmed_s, era)
-        self._wants_whole = False
+        self._replica.apply_difference(difference, confirmed_s, era)
+        self._needs_whole = False
 
-    def _take_changes(
+    def _apply_changes(
         self, objects: list[stores.StoredObject], sizes: directories.Sizes
     ) -> None:
-        """Takes in changes, or a list that may lack what is used here."""
+        """Applies list changes, or a list that is only a subset."""
         for stored in objects:
-            self._replica.take_change(stored)
+            self._replica.apply_change(stored)
         if not self._replica.complete:
-            self._directory.tell_sizes(sizes)
+            self._directory.set_sizes(sizes)
         if objects:
             self._replica.listed.set()
--- a/rhubarblock/exchange/state/feed_test.py
+++ b/rhubarblock/exchange/state/feed_test.py
@@ -1,4 +1,4 @@
-"""State that goes from one instance to another, over real sockets."""
+"""Replication of state between instances over real sockets."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 
 
 class Dialect(dialects.PlatformDialect):
-    """A table is its version and its keys; an entry is its state."""
+    """Encodes a table as its version and keys, and an entry as its state."""
 
     def split_configuration(self, value):
         fields = json.loads(value)
@@ -52,8 +52,8 @@
         return listed.ListedEndpoint(name, "a:1", "osu", "pool", 8, is_draining)
 
 
-class Side:
-    """One instance's state, on a lease clock of its own."""
+class Instance:
+    """One instance's state with its own lease clock."""
 
     def __init__(self, name, clock, timers=None, engines=SUBSET_SIZE):
         self.clock = clock
@@ -100,11 +100,11 @@
 @contextlib.asynccontextmanager
 async def open_pair():
     clock = Clock()
-    reader, asker = Side("r.1", clock), Side("a.1", clock)
-    asked = []
+    reader, requester = Instance("r.1", clock), Instance("a.1", clock)
+    queries = []
 
     async def handle(request):
-        asked.append(dict(request.query))
+        queries.append(dict(request.query))
         return await reader.server.handle(request)
 
     server = web.Server(handle)
@@ -116,13 +116,13 @@
             session,
             "a",
             "osu",
-            asker.replica,
-            asker.directory,
-            asker.config_lease,
-            asker.timers,
-            asker.eras,
+            requester.replica,
+            requester.directory,
+            requester.config_lease,
+            requester.timers,
+            requester.eras,
         )
-        yield reader, asker, client, f"127.0.0.1:{port}", asked
+        yield reader, requester, client, f"127.0.0.1:{port}", queries
     listener.close()
     await server.shutdown(0.1)
 
@@ -135,54 +135,60 @@
     return asyncio.run(main())
 
 
-def test_state_comes_whole_and_then_by_its_changes():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a"), entry("b")])
-        await client.ask(address, 0.0)
-        first = asker.usable()
-        reader.replica.take_change(entry("b", b"draining"))
-        reader.replica.take_change(entry("c"))
-        await client.ask(address, 0.0)
-        second = asker.usable()
-        reader.replica.take_change(entry("a", b"", deleted=True))
-        await client.ask(address, 0.0)
-        return asker.config_lease.version, first, second, asker.usable(), asked
-
-    version, first, second, third, asked = run(step)
+def test_first_answer_is_whole_and_later_ones_are_deltas():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a"), entry("b")])
+        await client.poll(address, 0.0)
+        first = requester.usable()
+        reader.replica.apply_change(entry("b", b"draining"))
+        reader.replica.apply_change(entry("c"))
+        await client.poll(address, 0.0)
+        second = requester.usable()
+        reader.replica.apply_change(entry("a", b"", deleted=True))
+        await client.poll(address, 0.0)
+        return (
+            requester.config_lease.version,
+            first,
+            second,
+            requester.usable(),
+            queries,
+        )
+
+    version, first, second, third, queries = run(step)
     assert version == 3
     assert (first, second, third) == (["a", "b"], ["a", "c"], ["c"])
-    assert [q["number"] for q in asked] == ["0", "2", "4"]
+    assert [q["number"] for q in queries] == ["0", "2", "4"]
 
 
-def test_age_counts_from_the_asking():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 98.0)
-        reader.replica.take_listing([entry("a")])
-        await client.ask(address, 0.0)
-        return asker.config_lease.age_s
+def test_age_counts_from_the_request():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 98.0)
+        reader.replica.apply_listing([entry("a")])
+        await client.poll(address, 0.0)
+        return requester.config_lease.age_s
 
     assert run(step) == 2.0
 
 
-def test_confirmation_without_news_extends_the_lease():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        await client.ask(address, 0.0)
+def test_confirmation_without_changes_extends_the_lease():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        await client.poll(address, 0.0)
         reader.clock.now_s = 104.0
-        reader.replica.take_configuration(table(3, "k"), 103.5)
-        await client.ask(address, 0.0)
-        return asker.config_lease.age_s
+        reader.replica.apply_configuration(table(3, "k"), 103.5)
+        await client.poll(address, 0.0)
+        return requester.config_lease.age_s
 
     assert run(step) == 0.5
 
 
-def test_frozen_answer_does_not_make_the_state_younger():
-    # The asker stands still while the answer is on its way.
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
+def test_freeze_while_an_answer_is_in_flight_does_not_refresh_the_state():
+    # The requester is frozen while the answer is in flight.
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
 
         class Frozen(statefeed.StateClient):
             async def _fetch(self, *arguments):
@@ -194,101 +200,101 @@
             client._session,
             "a",
             "osu",
-            asker.replica,
-            asker.directory,
-            asker.config_lease,
-            asker.timers,
-            asker.eras,
+            requester.replica,
+            requester.directory,
+            requester.config_lease,
+            requester.timers,
+            requester.eras,
         )
-        await frozen.ask(address, 0.0)
-        return asker.config_lease.find_valid()
+        await frozen.poll(address, 0.0)
+        return requester.config_lease.find_valid()
 
     assert run(step) is None
 
 
-def test_state_that_is_too_old_brings_no_endpoint_back():
+def test_stale_state_does_not_restore_removed_endpoints():
     # The reader lost the store before "a" was removed there.
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 98.0)
-        reader.replica.take_listing([entry("a"), entry("b")])
-        asker.replica.take_listing([entry("b")])
-        with pytest.raises(statefeed.OldStateError):
-            await client.ask(address, 0.0, 1.3)
-        before = asker.usable()
-        await client.ask(address, 0.0, 2.5)
-        return before, asker.usable(), asker.config_lease.version
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 98.0)
+        reader.replica.apply_listing([entry("a"), entry("b")])
+        requester.replica.apply_listing([entry("b")])
+        with pytest.raises(statefeed.StaleStateError):
+            await client.poll(address, 0.0, 1.3)
+        before = requester.usable()
+        await client.poll(address, 0.0, 2.5)
+        return before, requester.usable(), requester.config_lease.version
 
     assert run(step) == (["b"], ["a", "b"], 3)
 
 
-def test_change_wakes_a_question_that_waits():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        await client.ask(address, 0.0)
-        waiting = asyncio.ensure_future(client.ask(address, 0.7))
-        while len(asked) < 2:
+def test_change_wakes_a_waiting_request():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        await client.poll(address, 0.0)
+        waiting = asyncio.ensure_future(client.poll(address, 0.7))
+        while len(queries) < 2:
             await asyncio.sleep(0.001)
-        reader.replica.take_configuration(table(4), 100.0)
+        reader.replica.apply_configuration(table(4), 100.0)
         await waiting
-        return asker.config_lease.version
+        return requester.config_lease.version
 
     assert run(step) == 4
 
 
-def test_older_state_of_a_peer_does_not_revert():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        asker.replica.take_configuration(table(4), 95.5)
-        await client.ask(address, 0.0)
-        return asker.config_lease.version, asker.config_lease.age_s
+def test_older_state_of_a_peer_does_not_revert_the_configuration():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        requester.replica.apply_configuration(table(4), 95.5)
+        await client.poll(address, 0.0)
+        return requester.config_lease.version, requester.config_lease.age_s
 
     assert run(step) == (4, 4.5)
 
 
-def test_restarted_peer_gives_its_whole_list():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3), 100.0)
-        reader.replica.take_listing([entry("a"), entry("b")])
-        await client.ask(address, 0.0)
-        again = Side("r.2", reader.clock)
-        again.replica.take_configuration(table(3), 100.0)
-        again.replica.take_listing([entry("c"), entry("b"), entry("d")])
-        reader.server = again.server
-        await client.ask(address, 0.0)
-        return asker.usable()
+def test_restarted_peer_sends_its_whole_list():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3), 100.0)
+        reader.replica.apply_listing([entry("a"), entry("b")])
+        await client.poll(address, 0.0)
+        restarted = Instance("r.2", reader.clock)
+        restarted.replica.apply_configuration(table(3), 100.0)
+        restarted.replica.apply_listing([entry("c"), entry("b"), entry("d")])
+        reader.server = restarted.server
+        await client.poll(address, 0.0)
+        return requester.usable()
 
     assert run(step) == ["b", "c", "d"]
 
 
-def test_peer_without_state_gives_none():
-    async def step(reader, asker, client, address, asked):
+def test_peer_without_state_is_an_error():
+    async def step(reader, requester, client, address, queries):
         with pytest.raises(statefeed.FeedError):
-            await client.ask(address, 0.0)
-        return asker.config_lease.table
+            await client.poll(address, 0.0)
+        return requester.config_lease.table
 
     assert run(step) is None
 
 
-def test_peer_that_is_gone_gives_none():
-    async def step(reader, asker, client, address, asked):
+def test_unreachable_peer_is_an_error():
+    async def step(reader, requester, client, address, queries):
         with pytest.raises(statefeed.FeedError):
-            await client.ask("127.0.0.1:1", 0.0)
+            await client.poll("127.0.0.1:1", 0.0)
 
     run(step)
 
 
-def test_change_that_is_no_longer_kept_brings_the_whole_list():
+def test_requester_behind_the_change_log_gets_the_whole_list():
     async def main():
-        side = Side("r.1", Clock())
-        for number in range(changelog.KEPT_CHANGES + 5):
-            side.replica.take_change(entry(f"e{number}"))
-        old = side.replica.list_news(4)
-        recent = side.replica.list_news(changelog.KEPT_CHANGES)
+        instance = Instance("r.1", Clock())
+        for number in range(changelog.MAX_CHANGES + 5):
+            instance.replica.apply_change(entry(f"e{number}"))
+        old = instance.replica.list_changes(4)
+        recent = instance.replica.list_changes(changelog.MAX_CHANGES)
         return old.whole, len(old.objects), recent.whole, len(recent.objects)
 
-    kept = changelog.KEPT_CHANGES
+    kept = changelog.MAX_CHANGES
     assert asyncio.run(main()) == (True, kept + 5, False, 5)
 
 
@@ -296,50 +302,50 @@
     return [entry(f"e{number:02}") for number in range(count)]
 
 
-def test_of_a_long_list_only_what_the_asker_uses_is_passed_on():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing(make_pool(50))
-        await client.ask(address, 0.0)
+def test_long_list_is_reduced_to_the_requesters_subset():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing(make_pool(50))
+        await client.poll(address, 0.0)
         used = [
             f"e{number:02}"
             for number in range(50)
             if reader.subsets.uses("a", "osu", f"e{number:02}")
         ]
-        return asker, used
+        return requester, used
 
-    asker, used = run(step)
-    assert asker.usable() == used
+    requester, used = run(step)
+    assert requester.usable() == used
     assert 0 < len(used) < 20
-    assert asker.directory.count("pool") == 50
-    assert not asker.replica.complete
+    assert requester.directory.count("pool") == 50
+    assert not requester.replica.complete
 
 
-def test_endpoint_that_leaves_is_told_whoever_uses_it():
-    # The pool grew since the list was passed on, so the parts were drawn anew.
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing(make_pool(50))
-        await client.ask(address, 0.0)
+def test_leaving_endpoint_is_sent_to_requesters_outside_its_subset():
+    # The pool has grown since the list was sent, so the subsets have changed.
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing(make_pool(50))
+        await client.poll(address, 0.0)
         for number in range(50, 300):
             reader.directory.update(
                 listed.ListedEndpoint(f"n{number}", "a", "o", "pool", 8, False)
             )
-        for endpoint_id in asker.usable():
-            reader.replica.take_change(entry(endpoint_id, b"draining"))
-        await client.ask(address, 0.0)
-        return asker.usable()
+        for endpoint_id in requester.usable():
+            reader.replica.apply_change(entry(endpoint_id, b"draining"))
+        await client.poll(address, 0.0)
+        return requester.usable()
 
     assert run(step) == []
 
 
-def test_instance_with_a_part_of_the_list_takes_nothing_away_from_another():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing(make_pool(30), {"pool": {"osu": 50}})
-        asker.replica.take_listing([entry("b")])
-        await client.ask(address, 0.0)
-        return asker.usable(), reader.subsets
+def test_partial_list_of_a_peer_removes_no_endpoints():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing(make_pool(30), {"pool": {"osu": 50}})
+        requester.replica.apply_listing([entry("b")])
+        await client.poll(address, 0.0)
+        return requester.usable(), reader.subsets
 
     usable, used = run(step)
     taken = [f"e{n:02}" for n in range(30) if used.uses("a", "osu", f"e{n:02}")]
@@ -347,60 +353,60 @@
     assert taken
 
 
-def test_peer_that_is_behind_brings_nothing_back_that_was_removed():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing(
+def test_peer_that_is_behind_does_not_undo_removals():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing(
             [entry("a", version=4), entry("b", version=4)]
         )
-        asker.replica.take_listing(
+        requester.replica.apply_listing(
             [entry("a", version=4), entry("b", version=4)]
         )
-        asker.replica.take_change(entry("b", b"", deleted=True, version=5))
-        asker.replica.take_change(entry("a", b"draining", version=6))
-        await client.ask(address, 0.0)
-        return asker.usable()
+        requester.replica.apply_change(entry("b", b"", deleted=True, version=5))
+        requester.replica.apply_change(entry("a", b"draining", version=6))
+        await client.poll(address, 0.0)
+        return requester.usable()
 
     assert run(step) == []
 
 
-def test_entry_that_came_back_in_the_store_is_used_again():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        asker.replica.take_listing([entry("b", version=4)])
-        asker.replica.take_change(entry("b", b"", deleted=True, version=5))
-        reader.replica.take_listing([entry("b", version=7)])
-        await client.ask(address, 0.0)
-        return asker.usable()
+def test_entry_that_was_written_again_is_usable():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        requester.replica.apply_listing([entry("b", version=4)])
+        requester.replica.apply_change(entry("b", b"", deleted=True, version=5))
+        reader.replica.apply_listing([entry("b", version=7)])
+        await client.poll(address, 0.0)
+        return requester.usable()
 
     assert run(step) == ["b"]
 
 
-def test_entry_that_only_a_listing_lacked_may_come_back_as_it_was():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing(
+def test_entry_missing_from_one_list_may_reappear_unchanged():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing(
             [entry("a", version=4), entry("b", version=4)]
         )
-        await client.ask(address, 0.0)
-        reader.replica.take_listing([entry("a", version=4)])
-        await client.ask(address, 0.0)
-        between = asker.usable()
-        reader.replica.take_listing(
+        await client.poll(address, 0.0)
+        reader.replica.apply_listing([entry("a", version=4)])
+        await client.poll(address, 0.0)
+        between = requester.usable()
+        reader.replica.apply_listing(
             [entry("a", version=4), entry("b", version=4)]
         )
-        await client.ask(address, 0.0)
-        return between, asker.usable()
+        await client.poll(address, 0.0)
+        return between, requester.usable()
 
     assert run(step) == (["a"], ["a", "b"])
 
 
-def test_changes_that_do_not_fit_are_followed_by_the_whole():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        await client.ask(address, 0.0)
-        reader.replica.take_configuration(table(4, "k", "l"), 100.0)
+def test_delta_that_does_not_apply_is_followed_by_the_whole_configuration():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        await client.poll(address, 0.0)
+        reader.replica.apply_configuration(table(4, "k", "l"), 100.0)
         find = reader.replica.find_difference
 
         def lose_a_piece(known):
@@ -416,26 +422,26 @@
                 for name in (
                     "era",
                     "identity",
-                    "list_news",
+                    "list_changes",
                     "listed",
                     "complete",
                     "number",
-                    "wait_news",
+                    "wait_for_change",
                 )
             },
         )
         with pytest.raises(statefeed.FeedError):
-            await client.ask(address, 0.0)
-        between = asker.config_lease.version
-        await client.ask(address, 0.0)
-        return between, asker.config_lease.version, asked
+            await client.poll(address, 0.0)
+        between = requester.config_lease.version
+        await client.poll(address, 0.0)
+        return between, requester.config_lease.version, queries
 
-    between, version, asked = run(step)
+    between, version, queries = run(step)
     assert (between, version) == (3, 4)
-    assert [q["version"] for q in asked] == ["0", "3", "0"]
+    assert [q["version"] for q in queries] == ["0", "3", "0"]
 
 
-def test_many_askers_cost_one_encoding(monkeypatch):
+def test_delta_is_encoded_once_for_many_requesters(monkeypatch):
     encoded = []
     encode = differencewire.encode
 
@@ -445,34 +451,34 @@
 
     monkeypatch.setattr(differencewire, "encode", count)
 
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        await client.ask(address, 0.0)
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        await client.poll(address, 0.0)
         for number in range(4):
-            side = Side(f"b{number}", reader.clock)
+            instance = Instance(f"b{number}", reader.clock)
             other = statefeed.StateClient(
                 client._session,
                 f"b{number}",
                 "osu",
-                side.replica,
-                side.directory,
-                side.config_lease,
-                side.timers,
-                side.eras,
+                instance.replica,
+                instance.directory,
+                instance.config_lease,
+                instance.timers,
+                instance.eras,
             )
-            await other.ask(address, 0.0)
-        reader.replica.take_configuration(table(4, "k", "l"), 100.0)
-        await client.ask(address, 0.0)
+            await other.poll(address, 0.0)
+        reader.replica.apply_configuration(table(4, "k", "l"), 100.0)
+        await client.poll(address, 0.0)
 
     run(step)
     assert encoded == [0, 3]
 
 
 def test_instance_of_another_release_gets_no_state():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
         async with client._session.get(f"http://{address}/state") as answer:
             return answer.status
 
@@ -482,124 +488,127 @@
 def read_both(reader, era, *entries, version=3):
     """Lets the reader read the store in an era."""
     reader.eras.take(era)
-    reader.replica.take_configuration(table(version, "k"), 100.0, era)
-    reader.replica.take_listing(entries, at=positions.Position(era, 50))
+    reader.replica.apply_configuration(table(version, "k"), 100.0, era)
+    reader.replica.apply_listing(entries, at=positions.Position(era, 50))
 
 
-def test_whole_list_of_a_later_era_with_lower_revisions_empties_nothing():
-    async def step(reader, asker, client, address, asked):
+def test_whole_list_of_a_later_era_with_lower_revisions_removes_no_endpoint():
+    async def step(reader, requester, client, address, queries):
         old = [entry(n, version=9, era=1) for n in ("a", "b")]
         read_both(reader, 1, *old)
-        await client.ask(address, 0.0)
+        await client.poll(address, 0.0)
         new = [entry(n, version=2, era=2) for n in ("a", "b")]
         read_both(reader, 2, *new)
-        await client.ask(address, 0.0)
-        asker.directory.expire()
-        seen = [asker.usable(), asker.eras.current]
-        reader.replica.take_change(entry("b", b"draining", version=3, era=2))
-        await client.ask(address, 0.0)
-        return [*seen, asker.usable()]
+        await client.poll(address, 0.0)
+        requester.directory.expire()
+        seen = [requester.usable(), requester.eras.current]
+        reader.replica.apply_change(entry("b", b"draining", version=3, era=2))
+        await client.poll(address, 0.0)
+        return [*seen, requester.usable()]
 
     assert run(step) == [["a", "b"], 2, ["a"]]
 
 
-def test_peer_that_is_behind_takes_no_entry_away():
-    async def step(reader, asker, client, address, asked):
+def test_list_of_a_peer_that_is_behind_removes_no_entry():
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1), entry("b", era=1))
-        await client.ask(address, 0.0)
-        asker.replica.take_change(entry("b", version=5, era=1))
+        await client.poll(address, 0.0)
+        requester.replica.apply_change(entry("b", version=5, era=1))
         client.forget()
-        await client.ask(address, 0.0)
-        await asyncio.sleep(directories.RETURN_S + 0.1)
-        asker.directory.expire()
-        return asker.usable()
+        await client.poll(address, 0.0)
+        await asyncio.sleep(directories.REREGISTER_S + 0.1)
+        requester.directory.expire()
+        return requester.usable()
 
     assert run(step) == ["a", "b"]
 
 
-def test_state_of_an_ended_era_is_not_taken_in():
-    async def step(reader, asker, client, address, asked):
+def test_state_of_an_ended_era_is_rejected():
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
-        await client.ask(address, 0.0)
-        asker.eras.take(2)
-        reader.replica.take_change(entry("a", b"", True, 9, 1))
+        await client.poll(address, 0.0)
+        requester.eras.take(2)
+        reader.replica.apply_change(entry("a", b"", True, 9, 1))
         with pytest.raises(statefeed.FeedError):
-            await client.ask(address, 0.0)
-        return asker.usable(), asker.config_lease.version
+            await client.poll(address, 0.0)
+        return requester.usable(), requester.config_lease.version
 
     assert run(step) == (["a"], 3)
 
 
-def test_list_of_an_ended_era_is_not_passed_on_as_one_of_the_present():
-    """The reader knows of the era and has not listed anew yet."""
+def test_list_of_an_ended_era_is_not_served_as_current():
+    """The reader knows the new era but has not read the list again."""
 
-    async def step(reader, asker, client, address, asked):
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
         reader.eras.take(2)
-        asker.eras.take(2)
+        requester.eras.take(2)
         with pytest.raises(statefeed.FeedError):
-            await client.ask(address, 0.0)
-        return asker.usable()
+            await client.poll(address, 0.0)
+        return requester.usable()
 
     assert run(step) == []
 
 
-def test_peer_with_an_older_configuration_is_not_relied_on():
-    async def step(reader, asker, client, address, asked):
+def test_peer_with_an_older_configuration_is_stale():
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
-        await client.ask(address, 0.0)
-        asker.replica.take_configuration(table(5, "k"), 100.0, 1)
+        await client.poll(address, 0.0)
+        requester.replica.apply_configuration(table(5, "k"), 100.0, 1)
         reader.clock.now_s += 2.0
-        reader.replica.take_configuration(table(3, "k"), 102.0, 1)
-        with pytest.raises(statefeed.OldStateError):
-            await client.ask(address, 0.0, 1.3)
-        return asker.config_lease.version, asker.config_lease.age_s >= 2.0
+        reader.replica.apply_configuration(table(3, "k"), 102.0, 1)
+        with pytest.raises(statefeed.StaleStateError):
+            await client.poll(address, 0.0, 1.3)
+        return (
+            requester.config_lease.version,
+            requester.config_lease.age_s >= 2.0,
+        )
 
     assert run(step) == (5, True)
 
 
-def test_peer_with_another_content_of_the_version_confirms_nothing():
-    async def step(reader, asker, client, address, asked):
+def test_other_content_of_the_same_version_does_not_confirm():
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
-        await client.ask(address, 0.0)
+        await client.poll(address, 0.0)
         reader.eras.take(2)
-        reader.replica.take_configuration(table(3, "other"), 100.0, 2)
-        reader.replica.take_listing(
+        reader.replica.apply_configuration(table(3, "other"), 100.0, 2)
+        reader.replica.apply_listing(
             [entry("a", era=2)], at=positions.Position(2, 50)
         )
-        await client.ask(address, 0.0)
-        return list(asker.config_lease.table.keys)
+        await client.poll(address, 0.0)
+        return list(requester.config_lease.table.keys)
 
     assert run(step) == ["other"]
 
 
-async def ask_without_era(client, address):
+async def poll_without_era(client, address):
     url = f"http://{address}{statefeed.PATH}?version=0&number=0"
     async with client._session.get(url) as answer:
         fields = await answer.json() if answer.status == 200 else {}
         return answer.status, sorted(o[1] for o in fields.get("objects", []))
 
 
-def test_release_without_eras_gets_state_until_the_era_changes():
-    async def step(reader, asker, client, address, asked):
+def test_release_without_eras_is_served_until_the_era_changes():
+    async def step(reader, requester, client, address, queries):
         read_both(reader, 4, entry("a", version=7, era=4))
-        before = await ask_without_era(client, address)
+        before = await poll_without_era(client, address)
         read_both(reader, 5, entry("a", version=2, era=5))
-        return before, await ask_without_era(client, address)
+        return before, await poll_without_era(client, address)
 
     assert run(step) == ((200, [7]), (503, []))
 
 
-def test_state_of_a_release_without_eras_is_taken_until_the_era_changes():
-    async def step(reader, asker, client, address, asked):
-        reader.replica.take_configuration(table(3, "k"), 100.0)
-        reader.replica.take_listing([entry("a")])
-        asker.eras.take(4)
-        await client.ask(address, 0.0)
-        seen = asker.usable()
-        asker.eras.take(5)
+def test_state_of_a_release_without_eras_is_accepted_until_the_era_changes():
+    async def step(reader, requester, client, address, queries):
+        reader.replica.apply_configuration(table(3, "k"), 100.0)
+        reader.replica.apply_listing([entry("a")])
+        requester.eras.take(4)
+        await client.poll(address, 0.0)
+        seen = requester.usable()
+        requester.eras.take(5)
         with pytest.raises(statefeed.FeedError):
-            await client.ask(address, 0.0)
+            await client.poll(address, 0.0)
         return seen
 
     assert run(step) == ["a"]
--- a/rhubarblock/exchange/state/follower.py
+++ b/rhubarblock/exchange/state/follower.py
@@ -1,9 +1,10 @@
-"""Follows the state of the store, directly or through a peer.
+"""Keeps an instance's state up to date, from the store or from a peer.
 
-One instance of each data centre reads the store; the others ask it, so that
-calls to the store don't grow with the instances. Whoever finds the state too
-old reads the store itself, and whoever can't reach the store asks any peer: an
-instance that the store turns away goes on serving as long as a peer is not.
+One instance of each data centre, the reader, reads the store; the others poll
+the reader, so the number of calls to the store does not grow with the number of
+instances. An instance that finds the reader's state too old reads the store
+itself, and one that cannot reach the store asks any peer: an instance that the
+store rejects continues to serve as long as some peer can read.
 """
 
 import asyncio
@@ -25,52 +26,56 @@
 from rhubarblock.store import era as era_lib
 from rhubarblock.store import store as stores
 
-# Parts of the time in which a configuration must be in force everywhere: how
-# often it is read, how long a peer's answer waits for news, and the age from
-# which an instance reads the store itself. A reader that lost the store is
-# noticed after the last two together, which leaves time for the own read.
-READ_PART = 0.35
-WAIT_PART = 0.2
-OLD_PART = 0.65
-# Longest seconds between two reads: the lease outlasts three that fail.
-READ_MOST_S = 1.4
-# Seconds between two looks at whether this instance is to read the store.
+# Fractions of the time within which a configuration must be in force
+# everywhere: the interval between reads, the time for which a peer's answer
+# waits for a change, and the age from which an instance reads the store itself.
+# A reader that lost the store is detected after the sum of the last two, which
+# leaves time for the instance's own read.
+READ_FRACTION = 0.35
+WAIT_FRACTION = 0.2
+STALE_FRACTION = 0.65
+# Longest interval between reads in seconds: the lease outlasts three failed
+# reads.
+MAX_READ_INTERVAL_S = 1.4
+# Seconds between two checks whether this instance is the reader.
 ROLE_INTERVAL_S = 1.0
-# Seconds by which instances that have a reader wait longer after a failed read
-# of their own: in an outage most calls would be theirs, and all are charged.
-OTHERS_WAIT_S = 1.0
-# Part of the same time for which nothing is asked after changes of the list: at
-# a start of all every endpoint enters it, a rolling replacement changes some
-# each second, and each answer is charged.
-CHANGES_PART = 0.1
-# Longest seconds in which the changes of one answer are taken in: a question
-# and its answer take longer.
+# Seconds by which instances that are not the reader wait longer after a failed
+# read of their own: in an outage they would make most calls, and each call is
+# charged.
+NON_READER_WAIT_S = 1.0
+# Fraction of the same time for which the watch pauses after changes of the
+# list. Every endpoint registers when all start, a rolling replacement changes
+# some entries each second, and each answer of the store is charged.
+CHANGES_FRACTION = 0.1
+# Longest time in seconds in which the changes of one answer are applied: a
+# further request and its answer take longer.
 SAME_ANSWER_S = 0.003
-# Readers that are asked one after the other before the store is: after a loss
-# of all the best ones may not be up yet, and each call to the store is
-# charged. Asking one that is gone takes a quarter of a second.
-READERS_ASKED = 3
-# How waits after failed calls grow.
+# Number of readers that are polled in turn before the store is read: after a
+# restart of all instances the preferred ones may not be up yet, and each call
+# to the store is charged. Polling an instance that is down takes a quarter of a
+# second.
+MAX_READERS_POLLED = 3
+# Backoff after failed calls.
 BACKOFF = backoffs.BackoffSettings(first_s=0.1, max_s=1.0)
 
 _logger = logging.getLogger(__name__)
 
 
 class _Answer(enum.Enum):
-    """What a peer said when it was asked for state."""
+    """Result of a state request to a peer."""
 
-    YOUNG = "young"  # It is relied on.
+    YOUNG = "young"  # The state is fresh enough.
     OLD = "old"  # The peer lost the store.
-    NONE = "none"  # The peer is not up, or has no state itself.
+    NONE = "none"  # The peer is down or has no state.
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Asked:
-    """A peer that was asked for state.
+class _PollResult:
+    """The last poll of a reader and its result.
 
     Attributes:
-      reader: its address; empty where this instance is to read the store.
-      answer: what it said.
+      reader: address of the reader; empty if this instance is the reader.
+      answer: the result.
     """
 
     reader: str
@@ -78,27 +83,27 @@
 
 
 class PollIntervals:
-    """How often the state is looked at.
+    """Intervals and age limits of polling.
 
     Attributes:
       read_s: seconds between two reads of the store.
-      wait_s: seconds for which a peer's answer waits for news.
-      old_s: age in seconds from which a peer's state is not relied on.
-      changes_s: seconds without a question after changes of the list.
+      wait_s: seconds for which a peer's answer waits for a change.
+      max_age_s: age in seconds from which a peer's state is not used.
+      changes_s: seconds for which the watch pauses after changes.
     """
 
-    __slots__ = ("changes_s", "old_s", "read_s", "wait_s")
+    __slots__ = ("changes_s", "max_age_s", "read_s", "wait_s")
 
     def __init__(self, apply_s: float):
-        """Derives the pace from a bound.
+        """Derives the intervals from a bound.
 
         Args:
-          apply_s: seconds in which a configuration must be in force.
+          apply_s: seconds within which a configuration must be in force.
         """
-        self.read_s = min(READ_MOST_S, READ_PART * apply_s)
-        self.wait_s = min(statefeed.WAIT_S, WAIT_PART * apply_s)
-        self.old_s = OLD_PART * apply_s
-        self.changes_s = CHANGES_PART * apply_s
+        self.read_s = min(MAX_READ_INTERVAL_S, READ_FRACTION * apply_s)
+        self.wait_s = min(statefeed.WAIT_S, WAIT_FRACTION * apply_s)
+        self.max_age_s = STALE_FRACTION * apply_s
+        self.changes_s = CHANGES_FRACTION * apply_s
 
 
 class StoreFollower:
@@ -111,7 +116,7 @@
         "_dialect",
         "_eras",
         "_peers",
-        "_pace",
+        "_intervals",
         "_has_new_era",
         "_may_list",
         "_reachable",
@@ -129,27 +134,27 @@
         config_lease: config_leases.ConfigurationLease,
         client: statefeed.StateClient,
         peers: peer_table.PeerTable,
-        pace: PollIntervals,
+        intervals: PollIntervals,
         timers: timer_service.Timers,
         rng: random.Random,
         eras: era_lib.EraTracker,
     ):
-        """Creates a follower; ``run`` sets it going.
+        """Creates a follower; ``run`` starts it.
 
         Args:
           store: the object API.
           dialect: names of the objects.
-          replica: takes the state.
+          replica: receives the state.
           config_lease: age of the state.
-          client: asks peers.
+          client: requests state from peers.
           peers: the other instances.
-          pace: how often the state is looked at.
-          timers: clock and sleeps.
-          rng: spreads waits.
-          eras: tells when the store came back older.
+          intervals: intervals and age limits of polling.
+          timers: the clock, and sleeps.
+          rng: jitter of backoffs.
+          eras: reports when the store was restored from an older copy.
         """
         self._eras = eras
-        # Set when a list must be read anew.
+        # Set when the list must be read again.
         self._has_new_era = asyncio.Event()
         eras.listen(self._begin_era)
         self._store = store
@@ -158,18 +163,18 @@
         self._config_lease = config_lease
         self._client = client
         self._peers = peers
-        self._pace = pace
+        self._intervals = intervals
         self._timers = timers
         self._rng = rng
         self._reachable = True
         self._reads_store = False
-        # Set while a list can be had: a store that gave no configuration gives
-        # none either.
+        # Set while the list may be read: a store that returned no configuration
+        # returns no list either.
         self._may_list = asyncio.Event()
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator["StoreFollower"]:
-        """Follows the store while the context is open."""
+        """Keeps the state up to date while the context is open."""
         tasks = [
             asyncio.create_task(self._follow_configuration()),
             asyncio.create_task(self._follow_endpoints()),
@@ -184,50 +189,52 @@
     async def _follow_configuration(self) -> None:
         backoff = backoffs.Backoff(self._rng, BACKOFF)
         while True:
-            asked = await self._ask_readers()
-            if asked.answer is _Answer.YOUNG:
+            result = await self._poll_readers()
+            if result.answer is _Answer.YOUNG:
                 self._set_role(False)
                 continue
-            # The store's answer is for all of this data centre, so this one
-            # reads it, or there is nobody better to ask.
+            # This instance reads for its data centre, or no reader has fresh
+            # state.
             self._set_role(True)
             if await self._read_store():
-                if asked.answer is _Answer.OLD:
-                    # It lost the store, which others still reach: until it is
-                    # asked again the next best one reads for all.
-                    self._peers.distrust(asked.reader)
+                if result.answer is _Answer.OLD:
+                    # The reader lost the store, which this instance reaches.
+                    # Until the backoff ends, the next candidate is the reader.
+                    self._peers.back_off_from(result.reader)
                 backoff.reset()
-                await self._timers.sleep(self._pace.read_s)
+                await self._timers.sleep(self._intervals.read_s)
                 continue
-            await self._ask_anybody()
-            others = OTHERS_WAIT_S if asked.reader else 0.0
-            await self._timers.sleep(others + backoff.take_delay())
+            await self._poll_any_peer()
+            extra_wait_s = NON_READER_WAIT_S if result.reader else 0.0
+            await self._timers.sleep(extra_wait_s + backoff.take_delay())
 
-    async def _ask_readers(self) -> _Asked:
-        """Asks the reader, and the next ones while those before are not up.
+    async def _poll_readers(self) -> _PollResult:
+        """Polls the reader, and the next candidates if it is down.
 
         Returns:
-          The last one that was asked and what it said.
+          The last poll and its result.
         """
-        asked = _Asked("", _Answer.NONE)
-        for _ in range(READERS_ASKED):
+        result = _PollResult("", _Answer.NONE)
+        for _ in range(MAX_READERS_POLLED):
             reader = self._peers.find_reader()
             if reader is None:
                 break
-            asked = _Asked(reader, await self._ask(reader))
-            if asked.answer is not _Answer.NONE:
+            result = _PollResult(reader, await self._poll(reader))
+            if result.answer is not _Answer.NONE:
                 break
-        return asked
+        return result
 
-    async def _ask(self, address: str) -> _Answer:
-        """Asks a peer.
+    async def _poll(self, address: str) -> _Answer:
+        """Requests state from a peer.
 
-        State that is too old is not taken in: its list may still name endpoints
-        whose leaving this instance has read of itself.
+        State that is too old is not applied: its list may still contain
+        endpoints of which this instance has already read that they left.
         """
         try:
-            await self._client.ask(address, self._pace.wait_s, self._pace.old_s)
-        except statefeed.OldStateError as error:
+            await self._client.poll(
+                address, self._intervals.wait_s, self._intervals.max_age_s
+            )
+        except statefeed.StaleStateError as error:
             _logger.info(
                 "a peer's state is too old",
                 extra={"peer": address, "reason": str(error)},
@@ -238,39 +245,41 @@
                 "a peer gave no state",
                 extra={"peer": address, "reason": str(error)},
             )
-            self._peers.distrust(address)
+            self._peers.back_off_from(address)
             return _Answer.NONE
         return _Answer.YOUNG
 
-    async def _ask_anybody(self) -> None:
-        """Asks peers, near ones first, until one has younger state."""
+    async def _poll_any_peer(self) -> None:
+        """Polls peers, near ones first, until one has fresher state."""
         before_s = self._config_lease.age_s
         for address in self._peers.list_peers():
             with contextlib.suppress(statefeed.FeedError):
-                await self._client.ask(address, 0.0)
-                if self._config_lease.age_s < min(before_s, self._pace.old_s):
+                await self._client.poll(address, 0.0)
+                if self._config_lease.age_s < min(
+                    before_s, self._intervals.max_age_s
+                ):
                     return
 
     async def _read_store(self) -> bool:
-        asked_s = self._config_lease.read_clock()
+        sent_s = self._config_lease.read_clock()
         try:
             stored = await self._store.read(self._dialect.configuration_name)
             era = stored.version.era
-            self._replica.take_configuration(stored.value, asked_s, era)
+            self._replica.apply_configuration(stored.value, sent_s, era)
         except (stores.StoreError, ValueError) as error:
             if self._reachable:
                 self._reachable = False
-                self._allow_lists()
+                self._update_may_list()
                 _logger.warning("store lost", extra={"reason": str(error)})
             return False
         if not self._reachable:
             self._reachable = True
-            self._allow_lists()
+            self._update_may_list()
             _logger.warning("store regained")
         return True
 
     def _begin_era(self) -> None:
-        """Keeps what is in force, and looks at everything anew."""
+        """Keeps the state in force and reads everything again."""
         self._replica.begin_era()
         self._client.forget()
         self._has_new_era.set()
@@ -279,13 +288,13 @@
         if reads_store == self._reads_store:
             return
         self._reads_store = reads_store
-        self._allow_lists()
-        # What was read from the store is not in the log of any peer.
+        self._update_may_list()
+        # A list read from the store has no position in a peer's change log.
         self._client.forget()
         _logger.info("role changed", extra={"reads_store": reads_store})
 
-    def _allow_lists(self) -> None:
-        """Wakes whoever waits until the list can be read."""
+    def _update_may_list(self) -> None:
+        """Updates the event that allows the list to be read."""
         if self._reads_store and self._reachable:
             self._may_list.set()
         else:
@@ -302,7 +311,7 @@
                 self._has_new_era.clear()
                 if page.version.era != self._eras.current:
                     continue
-                self._replica.take_listing(page.objects, at=page.version)
+                self._replica.apply_listing(page.objects, at=page.version)
                 backoff.reset()
                 await self._watch_while_reading(page.version)
             except stores.StoreError as error:
@@ -312,7 +321,7 @@
                 await self._timers.sleep(backoff.take_delay())
 
     async def _watch_while_reading(self, after: positions.Position) -> None:
-        """Watches the list until it is to be read anew, or by another one."""
+        """Watches the list until it must be read again or the role changes."""
         watch = asyncio.create_task(self._watch(after))
         new_era = asyncio.create_task(self._has_new_era.wait())
         try:
@@ -333,9 +342,9 @@
         changes = self._store.watch(self._dialect.endpoint_prefix, after)
         resumed_s = float("-inf")
         async for stored in changes:
-            self._replica.take_change(stored)
-            # What changes meanwhile comes with the next answer. The changes of
-            # one answer are taken in without a pause between them.
+            self._replica.apply_change(stored)
+            # Changes during the pause arrive with the next answer. The changes
+            # of one answer are applied without a pause.
             if self._timers.read_monotonic() - resumed_s > SAME_ANSWER_S:
-                await self._timers.sleep(self._pace.changes_s)
+                await self._timers.sleep(self._intervals.changes_s)
                 resumed_s = self._timers.read_monotonic()
--- a/rhubarblock/exchange/state/follower_test.py
+++ b/rhubarblock/exchange/state/follower_test.py
@@ -1,4 +1,4 @@
-"""Who reads the store, and what happens when it can't be reached."""
+"""Choice of the reader, outages of the store, and its restores."""
 
 import asyncio
 import json
@@ -11,13 +11,13 @@
 from rhubarblock.exchange.state import feed as statefeed
 from rhubarblock.exchange.state import feed_test as fakes
 from rhubarblock.exchange.state import follower as followers
-from rhubarblock.exchange.state import removals
+from rhubarblock.exchange.state import tombstones
 from rhubarblock.kernel import virtualloop
 from rhubarblock.store import store as stores
 
 
 class Clock:
-    """The lease's clock is that of the loop."""
+    """A lease clock that follows the event loop."""
 
     @property
     def now_s(self):
@@ -25,11 +25,11 @@
 
 
 class Store(stores.ObjectStore):
-    """Holds a version of the configuration and some entries.
+    """A store with a version of the configuration and some entries.
 
     Attributes:
-      eras: hears the era with each answer.
-      key: stands in the configuration.
+      eras: receives the era of each answer.
+      key: the key in the configuration.
       listed: entries by name.
     """
 
@@ -50,7 +50,7 @@
         return positions.Position(era, self.revision)
 
     def put(self, name, value=b"ready"):
-        """Writes an entry; the watch tells of it at once."""
+        """Writes an entry; the watch reports it at once."""
         self.revision += 1
         stored = fakes.entry(name, value, version=self.revision, era=self.era)
         self.listed[name] = stored
@@ -63,8 +63,8 @@
             fakes.entry(name, b"", True, self.revision, self.era)
         )
 
-    def come_back(self, revision, names=("a", "b")):
-        """Begins an era with entries of an older copy."""
+    def restore(self, revision, names=("a", "b")):
+        """Starts a new era with the entries of an older copy."""
         self.era += 1
         self.revision = revision
         self.listed = {
@@ -102,34 +102,34 @@
 
 
 class Client:
-    """Peers whose state is always a certain age, or who give none."""
+    """Peers whose state has a fixed age, or that have none."""
 
-    def __init__(self, side, age_s):
-        self.side = side
+    def __init__(self, instance, age_s):
+        self.instance = instance
         self.age_s = age_s
-        # Of single peers, by address.
+        # Ages of single peers, by address.
         self.ages = {}
-        self.asked = []
+        self.polled = []
 
-    async def ask(self, address, wait_s=0.7, oldest_s=math.inf):
-        self.asked.append(address)
-        asked_s = self.side.config_lease.read_clock()
+    async def poll(self, address, wait_s=0.7, max_age_s=math.inf):
+        self.polled.append(address)
+        sent_s = self.instance.config_lease.read_clock()
         await asyncio.sleep(wait_s)
         age_s = self.ages.get(address, self.age_s)
         if age_s is None:
             raise statefeed.FeedError("none")
-        if age_s + wait_s >= oldest_s:
-            raise statefeed.OldStateError("old")
-        self.side.replica.take_listing([fakes.entry("a")])
+        if age_s + wait_s >= max_age_s:
+            raise statefeed.StaleStateError("old")
+        self.instance.replica.apply_listing([fakes.entry("a")])
         value = fakes.table(1, "k")
-        self.side.replica.take_configuration(value, asked_s - age_s)
+        self.instance.replica.apply_configuration(value, sent_s - age_s)
 
     def forget(self):
         pass
 
 
 class Peers:
-    """Readers come in turn, and None when all are distrusted."""
+    """Readers in order of preference, until each is backed off from."""
 
     def __init__(self, readers, *peers):
         self.readers = list(readers)
@@ -141,393 +141,394 @@
     def list_peers(self):
         return list(self.peers)
 
-    def distrust(self, address):
+    def back_off_from(self, address):
         self.readers.remove(address)
 
 
 def run(step, *readers, peers=(), age_s=0.5):
     async def main():
-        side = fakes.Side("i1", Clock())
+        instance = fakes.Instance("i1", Clock())
         store = Store()
-        client = Client(side, age_s)
+        client = Client(instance, age_s)
         follower = followers.StoreFollower(
             store,
             fakes.Dialect(),
-            side.replica,
-            side.config_lease,
+            instance.replica,
+            instance.config_lease,
             client,
             Peers(readers, *peers),
             followers.PollIntervals(2.0),
-            side.timers,
+            instance.timers,
             random.Random(1),
-            side.eras,
+            instance.eras,
         )
-        store.eras = side.eras
+        store.eras = instance.eras
         async with follower.run():
-            return await step(side, store, client)
+            return await step(instance, store, client)
 
     return virtualloop.run(main())
 
 
 def test_first_instance_of_a_data_centre_reads_the_store():
-    async def step(side, store, client):
+    async def step(instance, store, client):
         await asyncio.sleep(10.4)
-        return store.reads, store.lists, client.asked, side.usable()
+        return store.reads, store.lists, client.polled, instance.usable()
 
     assert run(step) == (15, 1, [], ["a", "b"])
 
 
-def test_others_ask_it_and_make_no_calls():
-    async def step(side, store, client):
+def test_other_instances_poll_the_reader_and_not_the_store():
+    async def step(instance, store, client):
         await asyncio.sleep(10.0)
-        valid = side.config_lease.find_valid() is not None
-        return store.reads, store.lists, valid, side.usable()
+        valid = instance.config_lease.find_valid() is not None
+        return store.reads, store.lists, valid, instance.usable()
 
     assert run(step, "10.0.0.1:1") == (0, 0, True, ["a"])
 
 
-def test_state_that_is_too_old_is_read_from_the_store():
-    async def step(side, store, client):
+def test_stale_state_of_the_reader_is_replaced_by_a_store_read():
+    async def step(instance, store, client):
         await asyncio.sleep(10.0)
-        return store.reads >= 3, side.config_lease.age_s < 2.0
+        return store.reads >= 3, instance.config_lease.age_s < 2.0
 
     assert run(step, "10.0.0.1:1", age_s=3.0) == (True, True)
 
 
-def test_instance_whose_reader_is_gone_reads_the_store_itself():
-    async def step(side, store, client):
+def test_instance_without_a_live_reader_reads_the_store():
+    async def step(instance, store, client):
         await asyncio.sleep(3.0)
-        return len(client.asked), store.reads > 1, side.usable()
+        return len(client.polled), store.reads > 1, instance.usable()
 
     assert run(step, "10.0.0.1:1", age_s=None) == (1, True, ["a", "b"])
 
 
-def test_next_reader_is_asked_where_the_first_ones_are_not_up():
-    async def step(side, store, client):
+def test_next_reader_is_asked_if_the_first_ones_are_down():
+    async def step(instance, store, client):
         client.ages = {"10.0.0.1:1": None, "10.0.0.2:1": None}
         await asyncio.sleep(5.0)
-        valid = side.config_lease.find_valid() is not None
-        return store.reads, valid, client.asked[:4]
+        valid = instance.config_lease.find_valid() is not None
+        return store.reads, valid, client.polled[:4]
 
     readers = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
     assert run(step, *readers) == (0, True, [*readers, readers[-1]])
 
 
-def test_fourth_reader_is_not_waited_for():
-    async def step(side, store, client):
+def test_at_most_three_readers_are_asked():
+    async def step(instance, store, client):
         await asyncio.sleep(2.0)
-        return store.reads > 0, client.asked[:3]
+        return store.reads > 0, client.polled[:3]
 
     readers = [f"10.0.0.{n}:1" for n in (1, 2, 3, 4)]
     assert run(step, *readers, age_s=None) == (True, readers[:3])
 
 
-def test_no_timer_wakes_an_instance_that_lists_nothing():
-    async def step(side, store, client):
-        before = side.timers.wakeups
+def test_instance_that_reads_no_list_has_no_timer_wakeups():
+    async def step(instance, store, client):
+        before = instance.timers.wakeups
         await asyncio.sleep(10.0)
-        return side.timers.wakeups - before, len(client.asked)
+        return instance.timers.wakeups - before, len(client.polled)
 
-    wakeups, asked = run(step, "10.0.0.1:1")
-    # One for each answer, to forget endpoints that it lacks.
-    assert wakeups <= asked
+    wakeups, polled = run(step, "10.0.0.1:1")
+    # One for each answer, to remove endpoints that it lacks.
+    assert wakeups <= polled
 
 
-def test_instance_that_the_store_turns_away_asks_peers():
-    async def step(side, store, client):
+def test_instance_that_the_store_rejects_asks_peers():
+    async def step(instance, store, client):
         store.fails = True
         await asyncio.sleep(30.0)
-        return side.config_lease.find_valid() is not None, side.usable()
+        return instance.config_lease.find_valid() is not None, instance.usable()
 
     assert run(step, peers=("10.0.0.2:1", "10.0.0.3:1")) == (True, ["a"])
 
 
-def test_instance_that_is_cut_off_from_all_loses_its_lease():
-    async def step(side, store, client):
+def test_instance_without_store_and_peers_loses_its_lease():
+    async def step(instance, store, client):
         await asyncio.sleep(5.0)
         store.fails = True
         await asyncio.sleep(6.0)
-        lost = side.config_lease.find_valid()
+        lost = instance.config_lease.find_valid()
         store.fails = False
         await asyncio.sleep(1.5)
-        return lost, side.config_lease.find_valid() is not None
+        return lost, instance.config_lease.find_valid() is not None
 
     peers = ("10.0.0.2:1",)
     assert run(step, peers=peers, age_s=None) == (None, True)
 
 
-def test_history_that_is_gone_brings_a_new_listing():
-    async def step(side, store, client):
+def test_failed_watch_leads_to_a_new_list():
+    async def step(instance, store, client):
         await asyncio.sleep(1.0)
         store.events.put_nowait(fakes.entry("b", b"", deleted=True))
         await asyncio.sleep(0.5)
-        between = side.usable()
+        between = instance.usable()
         store.events.put_nowait(None)
         await asyncio.sleep(1.0)
-        return between, store.lists, side.usable()
+        return between, store.lists, instance.usable()
 
     assert run(step) == (["a"], 2, ["a", "b"])
 
 
-def test_many_changes_at_once_are_asked_for_in_few_calls():
-    async def step(side, store, client):
+def test_burst_of_changes_takes_few_calls():
+    async def step(instance, store, client):
         await asyncio.sleep(1.0)
         taken = []
         for number in range(40):
             store.events.put_nowait(fakes.entry(f"e{number}"))
         begun_s = asyncio.get_running_loop().time()
-        while len(side.usable()) < 42:
-            taken.append(len(side.usable()))
+        while len(instance.usable()) < 42:
+            taken.append(len(instance.usable()))
             await asyncio.sleep(0.01)
         return taken[0], asyncio.get_running_loop().time() - begun_s
 
     first, took_s = run(step)
-    # The first change counts at once, the others with the next answers.
+    # The first change is applied at once, the others with the next answers.
     assert first <= 3
-    # A tenth of the 2 s in which a configuration must be in force.
+    # A tenth of the 2 s within which a configuration must be in force.
     assert 0.2 <= round(took_s, 6) <= 0.6
 
 
-def test_older_version_of_the_store_is_not_believed():
-    async def step(side, store, client):
+def test_older_version_from_the_store_is_rejected():
+    async def step(instance, store, client):
         store.version = 5
         await asyncio.sleep(1.5)
         store.version = 4
         await asyncio.sleep(6.0)
-        return side.config_lease.version, side.config_lease.find_valid()
+        return instance.config_lease.version, instance.config_lease.find_valid()
 
     assert run(step) == (5, None)
 
 
-def test_reader_that_lost_the_store_is_noticed_within_the_bound():
-    # Its answers come in time and get older with each one.
-    async def step(side, store, client):
-        lost_s = side.timers.read_monotonic()
-        ask = client.ask
+def test_reader_that_lost_the_store_is_detected_within_the_bound():
+    # Its answers arrive in time, but their state ages.
+    async def step(instance, store, client):
+        lost_s = instance.timers.read_monotonic()
+        poll = client.poll
 
-        async def ask_older(address, wait_s=0.7, oldest_s=math.inf):
-            client.age_s = side.timers.read_monotonic() - lost_s + wait_s
-            await ask(address, wait_s, oldest_s)
+        async def poll_older(address, wait_s=0.7, max_age_s=math.inf):
+            client.age_s = instance.timers.read_monotonic() - lost_s + wait_s
+            await poll(address, wait_s, max_age_s)
 
-        client.ask = ask_older
+        client.poll = poll_older
         while not store.reads:
             await asyncio.sleep(0.01)
-        return side.timers.read_monotonic() - lost_s
+        return instance.timers.read_monotonic() - lost_s
 
     assert run(step, "10.0.0.1:1") < 1.9
 
 
-def test_reader_that_lost_the_store_is_not_asked_again_at_once():
-    # Else every instance would read for itself, then ask it again, by turns.
-    async def step(side, store, client):
+def test_reader_that_lost_the_store_is_backed_off_from():
+    # Otherwise every instance would alternate between reading the store itself
+    # and polling the reader.
+    async def step(instance, store, client):
         client.age_s = 1.6
         await asyncio.sleep(2.5)
-        return len(client.asked), store.reads
+        return len(client.polled), store.reads
 
-    asked, reads = run(step, "10.0.0.1:1")
-    assert asked == 1
+    polled, reads = run(step, "10.0.0.1:1")
+    assert polled == 1
     assert reads >= 2
 
 
-def test_reader_stays_the_reader_while_nobody_reaches_the_store():
-    async def step(side, store, client):
+def test_reader_is_kept_while_the_store_is_down():
+    async def step(instance, store, client):
         store.fails = True
         client.age_s = 9.0
         await asyncio.sleep(6.0)
-        return len(client.asked)
+        return len(client.polled)
 
     assert run(step, "10.0.0.1:1") >= 2
 
 
-def run_eras(step):
-    """Follows a store that is in its first era, for three seconds."""
+def run_with_eras(step):
+    """Runs a step three seconds after the store's first era began."""
 
-    async def begin(side, store, client):
-        store.come_back(1)
+    async def begin(instance, store, client):
+        store.restore(1)
         await asyncio.sleep(3.0)
-        return await step(side, store)
+        return await step(instance, store)
 
     return run(begin)
 
 
-def test_entry_that_left_is_not_brought_back_by_the_copy():
-    async def step(side, store):
+def test_restore_does_not_revive_a_removed_entry():
+    async def step(instance, store):
         store.remove("a")
         await asyncio.sleep(1.0)
-        seen = [side.usable()]
-        store.come_back(1)
+        seen = [instance.usable()]
+        store.restore(1)
         for _ in range(2):
             await asyncio.sleep(2.5)
-            seen.append(side.usable())
-        # Nobody renews the copy's entry, so the store removes it.
+            seen.append(instance.usable())
+        # Nobody renews the revived entry, so the store removes it.
         store.remove("a")
         await asyncio.sleep(3.0)
-        return [*seen, side.usable()]
+        return [*seen, instance.usable()]
 
-    assert run_eras(step) == [["b"]] * 4
+    assert run_with_eras(step) == [["b"]] * 4
 
 
-def test_entry_that_is_written_again_is_used_at_once():
-    async def step(side, store):
+def test_entry_written_after_a_restore_is_usable_at_once():
+    async def step(instance, store):
         store.remove("a")
         await asyncio.sleep(1.0)
-        store.come_back(10)
+        store.restore(10)
         await asyncio.sleep(1.0)
         store.put("a")
         await asyncio.sleep(0.5)
-        return side.usable()
+        return instance.usable()
 
-    assert run_eras(step) == ["a", "b"]
+    assert run_with_eras(step) == ["a", "b"]
 
 
-def test_entry_of_the_copy_that_stays_listed_is_used_at_last():
-    async def step(side, store):
+def test_revived_entry_that_stays_listed_becomes_usable():
+    async def step(instance, store):
         store.remove("a")
         await asyncio.sleep(1.0)
-        store.come_back(1)
-        await asyncio.sleep(removals.HOLD_S + 2.0)
-        return side.usable()
+        store.restore(1)
+        await asyncio.sleep(tombstones.HOLD_BACK_S + 2.0)
+        return instance.usable()
 
-    assert run_eras(step) == ["a", "b"]
+    assert run_with_eras(step) == ["a", "b"]
 
 
-def test_new_entry_that_the_copy_lacks_is_used_until_it_is_written_again():
-    async def step(side, store):
+def test_entry_newer_than_the_copy_is_usable_until_written_again():
+    async def step(instance, store):
         store.put("c")
         store.put("d")
         await asyncio.sleep(1.0)
-        seen = [side.usable()]
-        store.come_back(1)
+        seen = [instance.usable()]
+        store.restore(1)
         await asyncio.sleep(1.8)
-        seen.append(side.usable())
+        seen.append(instance.usable())
         store.put("c")
         await asyncio.sleep(3.0)
-        return [*seen, side.usable()]
+        return [*seen, instance.usable()]
 
     everything = ["a", "b", "c", "d"]
-    assert run_eras(step) == [everything, everything, ["a", "b", "c"]]
+    assert run_with_eras(step) == [everything, everything, ["a", "b", "c"]]
 
 
-def test_change_of_a_later_era_with_a_lower_revision_is_taken_in():
-    async def step(side, store):
+def test_change_of_a_later_era_with_a_lower_revision_is_applied():
+    async def step(instance, store):
         for _ in range(9):
             store.put("b")
         await asyncio.sleep(1.0)
-        store.come_back(2)
+        store.restore(2)
         await asyncio.sleep(1.0)
         store.put("b", b"draining")
         await asyncio.sleep(0.5)
-        return store.revision, side.usable()
+        return store.revision, instance.usable()
 
-    assert run_eras(step) == (3, ["a"])
+    assert run_with_eras(step) == (3, ["a"])
 
 
-def test_endpoint_that_the_copy_calls_ready_stays_draining():
-    async def step(side, store):
+def test_restore_does_not_undo_a_drain():
+    async def step(instance, store):
         store.put("b", b"draining")
         await asyncio.sleep(1.0)
-        store.come_back(1)
+        store.restore(1)
         await asyncio.sleep(4.0)
-        return side.usable()
+        return instance.usable()
 
-    assert run_eras(step) == ["a"]
+    assert run_with_eras(step) == ["a"]
 
 
-def test_older_configuration_of_the_copy_reverts_nothing():
-    async def step(side, store):
+def test_restore_does_not_revert_the_configuration():
+    async def step(instance, store):
         store.version = 5
         await asyncio.sleep(2.0)
         store.version = 3
-        store.come_back(1)
+        store.restore(1)
         await asyncio.sleep(2.0)
         seen = [
-            side.config_lease.version,
-            side.config_lease.find_valid() is None,
+            instance.config_lease.version,
+            instance.config_lease.find_valid() is None,
         ]
         await asyncio.sleep(4.0)
-        # What may have been written since can't be ruled out any more.
-        seen.append(side.config_lease.find_valid() is None)
+        # A revocation may have been written since, so the lease expires.
+        seen.append(instance.config_lease.find_valid() is None)
         store.version = 5
         await asyncio.sleep(2.0)
-        return [*seen, side.config_lease.find_valid().version]
+        return [*seen, instance.config_lease.find_valid().version]
 
-    assert run_eras(step) == [5, False, True, 5]
+    assert run_with_eras(step) == [5, False, True, 5]
 
 
-def test_version_that_is_given_out_again_with_another_content_is_another_one():
-    async def step(side, store):
+def test_reused_version_with_other_content_is_applied_in_a_new_era():
+    async def step(instance, store):
         store.key = "other"
         await asyncio.sleep(2.0)
-        seen = [list(side.config_lease.table.keys)]
-        store.come_back(1)
+        seen = [list(instance.config_lease.table.keys)]
+        store.restore(1)
         await asyncio.sleep(2.0)
-        return [*seen, list(side.config_lease.table.keys)]
+        return [*seen, list(instance.config_lease.table.keys)]
 
-    # Within an era no version has two contents, so the first one stays.
-    assert run_eras(step) == [["k"], ["other"]]
+    # Within an era a version has one content only, so the first one stays.
+    assert run_with_eras(step) == [["k"], ["other"]]
 
 
 @pytest.mark.parametrize("jump", [1, 5])
-def test_list_is_read_anew_in_each_era(jump):
-    async def step(side, store):
+def test_list_is_read_again_in_each_era(jump):
+    async def step(instance, store):
         before = store.lists
         for _ in range(2):
             store.era += jump - 1
-            store.come_back(1, ("c",))
+            store.restore(1, ("c",))
             await asyncio.sleep(1.0)
         await asyncio.sleep(4.0)
-        return store.lists - before, side.usable(), side.eras.current
+        return store.lists - before, instance.usable(), instance.eras.current
 
-    assert run_eras(step) == (2, ["c"], 1 + 2 * jump)
+    assert run_with_eras(step) == (2, ["c"], 1 + 2 * jump)
 
 
-def test_two_eras_within_a_second():
-    async def step(side, store):
-        store.come_back(1, ("c",))
+def test_two_restores_within_a_second():
+    async def step(instance, store):
+        store.restore(1, ("c",))
         await asyncio.sleep(0.3)
-        store.come_back(1, ("d",))
+        store.restore(1, ("d",))
         await asyncio.sleep(4.0)
-        return side.usable(), side.eras.current
+        return instance.usable(), instance.eras.current
 
-    assert run_eras(step) == (["d"], 3)
+    assert run_with_eras(step) == (["d"], 3)
 
 
-def test_store_that_is_away_and_comes_back_older():
-    async def step(side, store):
+def test_restore_after_an_outage():
+    async def step(instance, store):
         store.fails = True
         await asyncio.sleep(3.0)
-        store.come_back(1, ("a", "c"))
+        store.restore(1, ("a", "c"))
         store.fails = False
         await asyncio.sleep(5.0)
-        return side.usable(), side.config_lease.find_valid() is not None
+        return instance.usable(), instance.config_lease.find_valid() is not None
 
-    assert run_eras(step) == (["a", "c"], True)
+    assert run_with_eras(step) == (["a", "c"], True)
 
 
-def test_entry_that_left_is_held_back_anew_at_each_return():
-    async def step(side, store):
+def test_removed_entry_is_held_back_after_each_restore():
+    async def step(instance, store):
         store.remove("a")
         await asyncio.sleep(1.0)
         seen = set()
         for _ in range(3):
-            store.come_back(1)
-            await asyncio.sleep(removals.HOLD_S / 2)
-            seen.update(side.usable())
+            store.restore(1)
+            await asyncio.sleep(tombstones.HOLD_BACK_S / 2)
+            seen.update(instance.usable())
         return seen
 
-    assert run_eras(step) == {"b"}
+    assert run_with_eras(step) == {"b"}
 
 
-def test_entry_that_a_list_lacked_is_not_brought_back_by_the_copy():
-    async def step(side, store):
-        # The watch breaks, so the removal is learned from the next list.
+def test_restore_does_not_revive_an_entry_missing_from_a_list():
+    async def step(instance, store):
+        # The watch breaks, so the removal shows only in the next list.
         del store.listed["a"]
         store.revision += 1
         store.events.put_nowait(None)
         await asyncio.sleep(3.0)
-        seen = [side.usable()]
-        store.come_back(1)
+        seen = [instance.usable()]
+        store.restore(1)
         await asyncio.sleep(4.0)
-        return [*seen, side.usable()]
+        return [*seen, instance.usable()]
 
-    assert run_eras(step) == [["b"], ["b"]]
+    assert run_with_eras(step) == [["b"], ["b"]]
--- a/rhubarblock/exchange/state/history.py
+++ b/rhubarblock/exchange/state/history.py
@@ -1,32 +1,32 @@
-"""The latest changes of the configuration, for peers that lack only these."""
+"""The latest configuration deltas, for peers that lack only these."""
 
 import collections
 
 from rhubarblock.core import document as documents
 
-# Changes that are kept: a peer asks again within a second, in which a quick
-# succession of versions brings a few; one that is further behind gets the whole
-# configuration.
-KEPT_CHANGES = 32
+# Number of deltas that are kept: a peer polls again within a second, in which
+# even rapid updates bring only a few versions. A peer that is further behind
+# gets the whole configuration.
+MAX_CHANGES = 32
 
 
 class History:
-    """Changes of one configuration, each following the one before it."""
+    """Consecutive deltas of one configuration."""
 
     __slots__ = ("_changes",)
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty history."""
         self._changes: collections.deque[documents.Difference] = (
-            collections.deque(maxlen=KEPT_CHANGES)
+            collections.deque(maxlen=MAX_CHANGES)
         )
 
     def note(self, change: documents.Difference) -> None:
-        """Takes in the latest change."""
+        """Appends the latest delta."""
         self._changes.append(change)
 
     def find(self, known: documents.Identity) -> documents.Difference | None:
-        """Returns what changed since a content, or None if that isn't known."""
+        """Returns the delta from a known content, or None if it isn't kept."""
         since: list[documents.Difference] = []
         for change in reversed(self._changes):
             since.append(change)
--- a/rhubarblock/exchange/state/replica.py
+++ b/rhubarblock/exchange/state/replica.py
@@ -1,8 +1,8 @@
-"""What the store last said: the configuration and the list of endpoints.
+"""Local replica of the store's configuration and endpoint list.
 
-It is kept as the store gave it, so that an instance which reads the store can
-pass it on to its peers unchanged, and as a log of changes, so that most of the
-time it passes on only what is new.
+The state is kept as the store returned it, so that an instance which reads the
+store can forward it to its peers unchanged, and as a log of changes, so that it
+usually forwards only deltas.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from rhubarblock.exchange.state import configlease as config_leases
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import history
-from rhubarblock.exchange.state import removals
+from rhubarblock.exchange.state import tombstones
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.store import store as stores
 
@@ -28,13 +28,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class ListNews:
-    """What is new in the list of endpoints.
+class ListChanges:
+    """Changes of the endpoint list.
 
     Attributes:
       number: number of the latest change.
-      whole: whether ``objects`` is the whole list.
-      objects: entries, deleted ones too unless it is the whole list.
+      whole: whether ``objects`` is the whole list and not a delta.
+      objects: entries; a delta includes deleted ones.
     """
 
     number: int
@@ -43,13 +43,13 @@
 
 
 class StateReplica:
-    """The latest state, and the parts that it is put into force in.
+    """The latest state, which it also applies to the components that use it.
 
     Attributes:
-      complete: whether the list is whole, and not only what this instance uses
-        of it.
+      complete: whether the list is whole, and not only the subset that this
+        instance uses.
       era: era of the store in which the list was read.
-      listed: set once there was a list of endpoints.
+      listed: set once an endpoint list was received.
     """
 
     __slots__ = (
@@ -63,9 +63,9 @@
         "_history",
         "_log",
         "_refused",
-        "_removals",
+        "_tombstones",
         "_timers",
-        "_unread",
+        "_unreadable",
         "_value",
         "complete",
         "era",
@@ -79,29 +79,30 @@
         directory: directories.Directory,
         timers: timer_service.Timers,
     ):
-        """Starts without any state.
+        """Creates an empty replica.
 
         Args:
-          dialect: decodes what the store holds.
-          config_lease: takes configurations.
-          directory: takes endpoints.
+          dialect: decodes objects of the store.
+          config_lease: receives configurations.
+          directory: receives endpoints.
           timers: callbacks.
         """
         self._dialect = dialect
         self._config_lease = config_lease
         self._directory = directory
         self._timers = timers
-        # What the store gave last, to see at one look that it gives the same.
+        # The configuration as last read from the store, to detect an unchanged
+        # one quickly.
         self._value = b""
         self._document = documents.EMPTY
         self._history = history.History()
         self._entries: dict[str, stores.StoredObject] = {}
         self._log = changelog.ChangeLog()
-        self._removals = removals.Removals(self.take_change, timers)
-        # Versions of entries that can't be read.
-        self._unread = removals.VersionMemory()
-        # Era in which the configuration in force was read, and the last one
-        # that was refused with its era.
+        self._tombstones = tombstones.Tombstones(self.apply_change, timers)
+        # Versions of entries that can't be decoded.
+        self._unreadable = tombstones.VersionCache()
+        # Era in which the configuration in force was read, and the last refused
+        # configuration with its era.
         self._era_in_force = 0
         self._refused = documents.NOTHING, 0
         self._changed = asyncio.Event()
@@ -110,19 +111,19 @@
         self.listed = asyncio.Event()
 
     def begin_era(self) -> None:
-        """Takes in that the store came back from an older copy.
+        """Handles that the store was restored from an older copy.
 
-        What is in force stays so. What was read last confirms nothing any more,
-        and the next list replaces the one that is held here.
+        The state in force stays. Earlier reads no longer confirm it, and the
+        next list replaces the one held here.
         """
         self._value = b""
-        self._unread.clear()
-        self._directory.note_return()
-        self._wake()
+        self._unreadable.clear()
+        self._directory.note_store_restore()
+        self._notify_waiters()
 
     @property
     def identity(self) -> documents.Identity:
-        """Names the configuration that is held here."""
+        """Identity of the configuration held here."""
         return self._document.identity
 
     @property
@@ -130,81 +131,86 @@
         """Number of the latest change of the list."""
         return self._log.number
 
-    def take_configuration(
-        self, value: bytes, asked_s: float, era: int = 0
+    def apply_configuration(
+        self, value: bytes, sent_s: float, era: int = 0
     ) -> None:
-        """Takes in a configuration.
+        """Applies a configuration read from the store.
 
         Args:
-          value: as the store gave it.
-          asked_s: the lease's clock before the read was sent.
+          value: the object's value.
+          sent_s: the lease's clock before the read was sent.
           era: era of the store in which it was read.
 
         Raises:
-          ValueError: it can't be read.
+          ValueError: it can't be decoded.
         """
         if value == self._value:
-            self._config_lease.confirm(self._config_lease.version, asked_s)
+            self._config_lease.confirm(self._config_lease.version, sent_s)
             return
         text = self._dialect.split_configuration(value)
         difference = documents.compare(
             self._document, text.version, text.pieces
         )
-        if self._put_in_force(difference, asked_s, era):
+        if self._install(difference, sent_s, era):
             self._value = value
 
-    def take_difference(
+    def apply_difference(
         self,
         difference: documents.Difference,
         confirmed_s: float,
         era: int = 0,
     ) -> None:
-        """Takes in what a peer says has changed in the configuration.
+        """Applies a configuration delta from a peer.
 
         Args:
-          difference: follows the configuration held here, or is whole.
-          confirmed_s: when the read was sent that found its result, on the
+          difference: a delta from the configuration held here, or a whole
+            configuration.
+          confirmed_s: when the read that found its result was sent, on the
             lease's clock.
           era: era of the store in which the peer read it.
 
         Raises:
-          ValueError: it does not fit, or can't be read; nothing was changed.
+          ValueError: it does not apply here or can't be decoded; nothing was
+            changed.
         """
         if difference.before == documents.NOTHING:
             whole = documents.apply(documents.EMPTY, difference)
             difference = documents.compare(
                 self._document, whole.identity.version, whole.pieces
             )
-        self._put_in_force(difference, confirmed_s, era)
+        self._install(difference, confirmed_s, era)
 
     def find_difference(
         self, known: documents.Identity
     ) -> documents.Difference:
-        """Returns what leads from a known configuration to the one held here.
+        """Returns the delta from a known configuration to the one held here.
 
-        It is the whole one where the other is not known here any more.
+        Returns the whole configuration if the other one is no longer known.
         """
         return self._history.find(known) or documents.compare(
             documents.EMPTY, self.identity.version, self._document.pieces
         )
 
-    def _put_in_force(
-        self, difference: documents.Difference, asked_s: float, era: int
+    def _install(
+        self, difference: documents.Difference, sent_s: float, era: int
     ) -> bool:
-        """Puts a change of the configuration into force.
+        """Puts a configuration delta into force.
 
         Returns:
-          Whether it is in force now; False for an older one, and for another
-          one of the same version that no later era gave.
+          Whether it is in force now. False for an older version, and for other
+          content of the same version unless it is of a later era.
 
         Raises:
-          ValueError: it does not fit, or can't be read; nothing was changed.
+          ValueError: it does not apply here or can't be decoded; nothing was
+            changed.
         """
         found = difference.after
         version = found.version
         before = self._config_lease.version
-        is_other = version == before and found != self.identity
-        if version < before or (is_other and era <= self._era_in_force):
+        has_other_content = version == before and found != self.identity
+        if version < before or (
+            has_other_content and era <= self._era_in_force
+        ):
             self._note_refused(found, era)
             return False
         document = documents.apply(self._document, difference)
@@ -212,10 +218,12 @@
             self._config_lease.table, document, difference
         )
         self._era_in_force = era
-        if not self._config_lease.install(table, asked_s, replaces=is_other):
+        if not self._config_lease.install(
+            table, sent_s, replaces=has_other_content
+        ):
             return True
         self._document = document
-        # What the store gave before confirms an older version only.
+        # The value read before confirms only an older version.
         self._value = b""
         self._history.note(difference)
         _logger.info(
@@ -227,11 +235,11 @@
                 "removed": len(difference.removed),
             },
         )
-        self._wake()
+        self._notify_waiters()
         return True
 
     def _note_refused(self, found: documents.Identity, era: int) -> None:
-        """Tells once of a configuration that is not put into force."""
+        """Logs a refused configuration once."""
         if self._refused == (found, era):
             return
         self._refused = found, era
@@ -244,30 +252,31 @@
             },
         )
 
-    def take_listing(
+    def apply_listing(
         self,
         objects: Iterable[stores.StoredObject],
         sizes: directories.Sizes | None = None,
         at: positions.Position = positions.NOWHERE,
     ) -> None:
-        """Takes in a list of endpoints that replaces the one before.
+        """Applies an endpoint list that replaces the previous one.
 
         Args:
           objects: its entries.
-          sizes: how many endpoints there are where the list may lack some;
-            None says that it is whole.
-          at: where the store stood when it was read; of a peer's list only the
-            era is known.
+          sizes: numbers of endpoints if the list may be partial; None if it is
+            whole.
+          at: position of the store when it was read; only the era is known for
+            a peer's list.
         """
         if at.era != self.era:
             self._log.forget()
         self.era = at.era
         listed = {stored.name: stored for stored in objects}
-        listing = self._removals.hold_back(listed)
+        listing = self._tombstones.hold_back(listed)
         if sizes is None:
-            # The store itself knows best what has come back.
+            # A list of the store itself is authoritative for entries that exist
+            # again.
             for name in listing:
-                self._removals.forget(name)
+                self._tombstones.forget(name)
         else:
             listing = {
                 name: stored
@@ -276,7 +285,7 @@
             }
         for name in [n for n in self._entries if n not in listed]:
             self._note_missing(self._entries.pop(name), at)
-        # Where more is known of an entry than the peer knows, that stays.
+        # A newer version that is known here outranks the peer's.
         kept = [self._entries[name] for name in listed if name in self._entries]
         listing = {stored.name: stored for stored in kept} | listing
         for stored in listing.values():
@@ -284,49 +293,51 @@
                 self._entries[stored.name] = stored
                 self._log.note(stored)
         self._directory.replace(self._decode(listing.values()))
-        self._directory.tell_sizes(sizes or {})
+        self._directory.set_sizes(sizes or {})
         self.complete = sizes is None or _sum_sizes(sizes) <= len(listing)
         self._timers.call_later(
-            directories.RETURN_S + 0.1, self._directory.expire
+            directories.REREGISTER_S + 0.1, self._directory.expire
         )
         self.listed.set()
-        self._wake()
+        self._notify_waiters()
 
     def _note_missing(
         self, known: stores.StoredObject, at: positions.Position
     ) -> None:
-        """Takes in that a list lacks an entry.
+        """Records that a list lacks an entry.
 
-        The store's own list says that it was removed by then. Of a peer's list
-        nobody knows when it was read, so the entry may come back as it was.
+        The store's own list shows that the entry was removed by then. A peer's
+        list was read at an unknown position, so the entry may reappear
+        unchanged.
         """
         version = at if at.revision else positions.NOWHERE
-        gone = dataclasses.replace(
+        removed = dataclasses.replace(
             known, version=version, value=b"", deleted=True
         )
-        self._log.note(gone)
+        self._log.note(removed)
         if version:
-            self._removals.note(gone)
+            self._tombstones.note(removed)
 
-    def take_change(self, stored: stores.StoredObject) -> None:
-        """Takes in one change of the list, unless a later one is known."""
+    def apply_change(self, stored: stores.StoredObject) -> None:
+        """Applies one change of the list unless a later one is known."""
         if self._is_outdated(stored):
             return
-        self._removals.note_change(stored.name)
+        self._tombstones.note_change(stored.name)
         self._log.note(stored)
         if stored.deleted:
             self._entries.pop(stored.name, None)
             self._directory.remove(stored.name.partition("/")[2])
-            self._removals.note(stored)
+            self._tombstones.note(stored)
         else:
             self._entries[stored.name] = stored
             self._update_endpoint(stored)
-        self._wake()
+        self._notify_waiters()
 
     def _update_endpoint(self, stored: stores.StoredObject) -> None:
-        """Puts a changed entry into force.
+        """Applies a changed entry to the directory.
 
-        One that can't be read names no endpoint, whatever it named before.
+        An entry that can't be decoded removes the endpoint that it described
+        before.
         """
         entries = self._decode([stored])
         for entry in entries:
@@ -335,32 +346,32 @@
             self._directory.remove(stored.name.partition("/")[2])
 
     def _is_outdated(self, stored: stores.StoredObject) -> bool:
-        """Whether more is known of an entry already."""
+        """Returns whether a later version of an entry is known."""
         if stored.deleted:
             return False
-        if self._removals.is_outdated(stored):
+        if self._tombstones.is_outdated(stored):
             return True
         known = self._entries.get(stored.name)
         return known is not None and stored.version < known.version
 
-    def list_news(self, after: int) -> ListNews:
-        """Returns what is new in the list after a change.
+    def list_changes(self, after: int) -> ListChanges:
+        """Returns the changes of the list after a known one.
 
         Args:
-          after: number of the latest change that is known, 0 for none.
+          after: number of the latest known change, 0 for none.
         """
         changes = self._log.list_since(after)
         if changes is not None:
-            return ListNews(self.number, False, tuple(changes))
-        return ListNews(self.number, True, tuple(self._entries.values()))
+            return ListChanges(self.number, False, tuple(changes))
+        return ListChanges(self.number, True, tuple(self._entries.values()))
 
-    async def wait_news(
-        self, is_news: Callable[[], bool], timeout_s: float
+    async def wait_for_change(
+        self, has_changed: Callable[[], bool], timeout_s: float
     ) -> None:
-        """Waits until something is news, for a time at most."""
+        """Waits until a condition holds after a change, or for a timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                while not is_news():
+                while not has_changed():
                     self._changed.clear()
                     await self._changed.wait()
 
@@ -372,27 +383,27 @@
             try:
                 entries.append(self._dialect.decode_endpoint(stored))
             except ValueError as error:
-                self._note_unread(stored, error)
+                self._note_unreadable(stored, error)
         return entries
 
-    def _note_unread(
+    def _note_unreadable(
         self, stored: stores.StoredObject, error: ValueError
     ) -> None:
-        """Leaves one line for each change of an entry that can't be read."""
-        if self._unread.find(stored.name) == stored.version:
+        """Logs an undecodable entry once per version."""
+        if self._unreadable.find(stored.name) == stored.version:
             return
-        self._unread.note(stored)
+        self._unreadable.note(stored)
         _logger.warning(
             "an entry names no endpoint",
             extra={"version": stored.version, "reason": str(error)},
         )
 
-    def _wake(self) -> None:
-        # Waiters look again; those that come later wait for the next change.
+    def _notify_waiters(self) -> None:
+        # Present waiters check again; later ones wait for the next change.
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 def _sum_sizes(sizes: directories.Sizes) -> int:
-    """Returns how many endpoints there are."""
+    """Returns the total number of endpoints."""
     return sum(sum(centres.values()) for centres in sizes.values())
--- a/rhubarblock/exchange/state/subset.py
+++ b/rhubarblock/exchange/state/subset.py
@@ -1,13 +1,14 @@
-"""Which instances use which engines of a large pool.
-
-An instance that knows all engines has to hear of everything that all the
-others place. So each one uses a part of a large pool: the engines of its own
-data centre first, and of the others as many as are missing, drawn by rendezvous
-hashing. It hears only of what is placed there: what an instance knows, hears
-and compares depends on the size of that part and not on the fleet, and most of
-it comes from its own data centre. Whoever knows the names and the data centres
-of an instance and of an engine knows whether they belong together; views of the
-pool that differ for a moment cost a prediction.
+"""Subsetting: which instances use which engines of a large pool.
+
+An instance that uses all engines must receive the placements of all other
+instances. So each instance uses a subset of a large pool: the engines of its
+own data centre first, and then as many of the others as are missing, selected
+by rendezvous hashing. It receives only placements at these engines. Its memory,
+traffic and work depend on the size of the subset and not on the fleet, and most
+of the traffic stays within its data centre. Membership in a subset follows from
+the names and data centres of the instance and the engine alone, so every
+instance can compute it. If views of the pool differ for a moment, only
+predictions get worse.
 """
 
 from collections.abc import Callable
@@ -17,95 +18,98 @@
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.fleet import rendezvous
 
-# Engines of a pool that an instance uses: those of a data centre with 39, and a
-# few of others for when these are full or lost. More would be told of more.
+# Number of engines of a pool that an instance uses: all of a data centre with
+# 39, and a few elsewhere for when these are full or lost. A larger subset means
+# more traffic.
 SUBSET_SIZE = 48
 
-# Says whether an instance, by its name and its data centre, is meant.
+# Returns whether an instance, given by name and data centre, is selected.
 InstanceFilter = Callable[[str, str], bool]
 
 
 class Subsets:
-    """The engines that each instance uses."""
+    """Selects the engines that each instance uses."""
 
-    __slots__ = ("_directory", "_engines_each")
+    __slots__ = ("_directory", "_subset_size")
 
     def __init__(
         self,
         directory: directories.Directory,
         subset_size: int = SUBSET_SIZE,
     ):
-        """Creates subsets over what is listed.
+        """Creates subsets of the listed endpoints.
 
         Args:
-          directory: tells the size of each pool in each data centre.
-          subset_size: engines of a pool that an instance uses on average.
+          directory: sizes of each pool in each data centre.
+          subset_size: average number of engines of a pool that an instance
+            uses.
         """
         self._directory = directory
-        self._engines_each = subset_size
+        self._subset_size = subset_size
 
     def uses(
         self, instance_id: str, data_centre: str, endpoint_id: str
     ) -> bool:
-        """Says whether an instance uses an endpoint.
+        """Returns whether an instance uses an endpoint.
 
         Args:
           instance_id: name of the instance.
-          data_centre: where it runs.
-          endpoint_id: an endpoint; every instance uses one that isn't listed.
+          data_centre: its data centre.
+          endpoint_id: id of an endpoint; unlisted ones are used by every
+            instance.
         """
         return self.make_filter((endpoint_id,))(instance_id, data_centre)
 
     def list_used(
         self, instance_id: str, data_centre: str, endpoint_ids: Iterable[str]
     ) -> set[str]:
-        """Returns those of some endpoints that an instance uses.
+        """Returns the subset of some endpoints that an instance uses.
 
-        It says what ``uses`` says of each, in a fraction of the time: a reader
-        looks through the whole list for each peer that starts, and after a loss
-        of all its answers would come too late.
+        Equivalent to calling ``uses`` for each, but much faster: the reader of
+        the store filters the whole list for each peer that starts, and when all
+        instances restart at once its answers would otherwise be too late.
 
         Args:
           instance_id: name of the instance.
-          data_centre: where it runs.
-          endpoint_ids: endpoints; one that isn't listed is used.
+          data_centre: its data centre.
+          endpoint_ids: ids of endpoints; unlisted ones are included.
         """
-        parts: dict[tuple[str, bool], float] = {}
+        fractions: dict[tuple[str, bool], float] = {}
         used = set()
         for endpoint_id in endpoint_ids:
             endpoint = self._directory.find(endpoint_id)
             if endpoint is None:
                 used.add(endpoint_id)
                 continue
-            place = endpoint.service, endpoint.data_centre == data_centre
-            part = parts.get(place)
-            if part is None:
-                part = self._find_part(place[0], data_centre, place[1])
-                parts[place] = part
-            if _is_drawn(instance_id, endpoint_id, part):
+            key = endpoint.service, endpoint.data_centre == data_centre
+            fraction = fractions.get(key)
+            if fraction is None:
+                fraction = self._find_fraction(key[0], data_centre, key[1])
+                fractions[key] = fraction
+            if _is_selected(instance_id, endpoint_id, fraction):
                 used.add(endpoint_id)
         return used
 
     def make_filter(self, endpoint_ids: Iterable[str]) -> InstanceFilter:
-        """Returns what says whether an instance uses one of some endpoints."""
+        """Returns a filter of the instances that use one of some endpoints."""
         endpoints = []
         for endpoint_id in endpoint_ids:
             endpoint = self._directory.find(endpoint_id)
             if endpoint is None or self._is_small(endpoint.service):
-                return _is_any
+                return _accepts_all
             endpoints.append(endpoint)
-        parts: dict[tuple[str, bool], float] = {}
+        fractions: dict[tuple[str, bool], float] = {}
 
         def uses(instance_id: str, data_centre: str) -> bool:
             for endpoint in endpoints:
                 is_near = endpoint.data_centre == data_centre
-                part = parts.get((data_centre, is_near))
-                if part is None:
-                    part = self._find_part(
+                fraction = fractions.get((data_centre, is_near))
+                if fraction is None:
+                    fraction = self._find_fraction(
                         endpoint.service, data_centre, is_near
                     )
-                    parts[data_centre, is_near] = part
-                if _is_drawn(instance_id, endpoint.endpoint_id, part):
+                    fractions[data_centre, is_near] = fraction
+                if _is_selected(instance_id, endpoint.endpoint_id, fraction):
                     return True
             return False
 
@@ -117,19 +121,19 @@
         data_centre: str,
         endpoints: list[lists.ListedEndpoint],
     ) -> list[lists.ListedEndpoint]:
-        """Returns those endpoints of one service that an instance uses.
+        """Returns the endpoints of one service that an instance uses.
 
-        All are returned if it uses none.
+        Returns all of them if it uses none.
         """
         if not endpoints or self._is_small(endpoints[0].service):
             return endpoints
         service = endpoints[0].service
-        near = self._find_part(service, data_centre, True)
-        far = self._find_part(service, data_centre, False)
+        near = self._find_fraction(service, data_centre, True)
+        far = self._find_fraction(service, data_centre, False)
         chosen = [
             e
             for e in endpoints
-            if _is_drawn(
+            if _is_selected(
                 instance_id,
                 e.endpoint_id,
                 near if e.data_centre == data_centre else far,
@@ -138,38 +142,39 @@
         return chosen or endpoints
 
     def _is_small(self, service: str) -> bool:
-        """Whether every instance uses all of a service."""
-        return self._directory.count(service) <= self._engines_each
+        """Returns whether every instance uses all endpoints of a service."""
+        return self._directory.count(service) <= self._subset_size
 
-    def _find_part(
+    def _find_fraction(
         self, service: str, data_centre: str, is_near: bool
     ) -> float:
-        """Returns which part of a service an instance uses, 1 for all.
+        """Returns the fraction of a service's endpoints that an instance uses.
 
         Args:
-          service: a service of one kind of prompts, so all endpoints asked for
-            at once are of the same one.
-          data_centre: where the instance runs.
-          is_near: whether its own data centre is meant, or all the others.
+          service: name of the service. All endpoints of one prompt are of the
+            same service.
+          data_centre: data centre of the instance.
+          is_near: whether to count its own data centre or all the others.
         """
         if self._is_small(service):
             return 1.0
         near = self._directory.count(service, data_centre)
         if is_near:
-            return min(1.0, self._engines_each / near) if near else 1.0
+            return min(1.0, self._subset_size / near) if near else 1.0
         far = self._directory.count(service) - near
-        missing = max(0, self._engines_each - near)
+        missing = max(0, self._subset_size - near)
         return min(1.0, missing / far) if far else 1.0
 
 
-def _is_drawn(instance_id: str, endpoint_id: str, part: float) -> bool:
-    if part >= 1.0:
+def _is_selected(instance_id: str, endpoint_id: str, fraction: float) -> bool:
+    if fraction >= 1.0:
         return True
     return (
-        part > 0.0 and rendezvous.compute_share(endpoint_id, instance_id) < part
+        fraction > 0.0
+        and rendezvous.compute_share(endpoint_id, instance_id) < fraction
     )
 
 
-def _is_any(instance_id: str, data_centre: str) -> bool:
+def _accepts_all(instance_id: str, data_centre: str) -> bool:
     del instance_id, data_centre
     return True
--- a/rhubarblock/exchange/state/subset_test.py
+++ b/rhubarblock/exchange/state/subset_test.py
@@ -24,13 +24,13 @@
     return subsets.Subsets(directory, subset_size), engines
 
 
-def test_small_pool_is_used_whole():
+def test_small_pool_has_no_subsets():
     made, engines = make_subsets(5, 5)
     assert made.select("i1", "osu", engines) == engines
     assert all(made.uses("i1", "osu", e.endpoint_id) for e in engines)
 
 
-def test_instance_uses_as_many_of_a_large_pool_as_asked():
+def test_subset_of_a_large_pool_has_about_the_given_size():
     made, engines = make_subsets(400, 40)
     sizes = [len(made.select(f"i{n}", "osu", engines)) for n in range(20)]
     assert 25 < min(sizes) <= max(sizes) < 60
@@ -45,24 +45,24 @@
     assert min(users) >= 15
 
 
-def test_engine_that_leaves_changes_nothing_for_the_others():
+def test_removal_of_an_engine_keeps_the_rest_of_a_subset():
     made, engines = make_subsets(400, 40)
     before = made.select("i1", "osu", engines)
     after = made.select("i1", "osu", engines[1:])
     assert [e for e in before if e is not engines[0]] == after
 
 
-def test_instance_without_an_engine_of_its_own_uses_all():
+def test_instance_with_an_empty_subset_uses_all():
     made, engines = make_subsets(60, 1)
-    lonely = next(
+    unserved = next(
         n
         for n in range(100)
         if not any(made.uses(f"i{n}", "osu", e.endpoint_id) for e in engines)
     )
-    assert made.select(f"i{lonely}", "osu", engines) == engines
+    assert made.select(f"i{unserved}", "osu", engines) == engines
 
 
-def test_endpoint_that_is_not_listed_is_used_by_all():
+def test_unlisted_endpoint_is_used_by_all():
     made, _ = make_subsets(400, 40)
     assert made.uses("i1", "osu", "unheard")
 
@@ -76,7 +76,7 @@
         used = made.select(f"i{n}", "tema", engines)
         near = [e for e in used if e.data_centre == "tema"]
         assert len(near) == 40
-        # Eight of the others are missing, 0.05 of each.
+        # Eight more are needed from the others: each is selected with 0.05.
         assert len(used) - len(near) <= 20
 
 
@@ -92,7 +92,7 @@
     assert 30 < len(made.select("i1", "kumasi", engines)) < 66
 
 
-def test_who_places_at_an_engine_knows_who_uses_it():
+def test_filter_agrees_with_the_selection():
     made, engines = make_subsets(200, 48, CENTRES)
     for n in range(20):
         centre = CENTRES[n % 5]
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize(
     ("count", "centres"), [(4, ("osu",)), (40, ("osu",)), (90, ("osu", "tema"))]
 )
-def test_list_of_used_endpoints_says_what_is_said_of_each(count, centres):
+def test_list_of_used_endpoints_agrees_with_single_checks(count, centres):
     made, engines = make_subsets(count, 12, centres)
     asked = [*(e.endpoint_id for e in engines), "unlisted"]
     for number in range(10):
--- a/rhubarblock/exchange/state/removals.py
+++ b/rhubarblock/exchange/state/tombstones.py
@@ -1,7 +1,7 @@
-"""Entries of endpoints that were removed, and those that a copy brings back.
+"""Tombstones of removed endpoint entries.
 
-A removed entry is remembered, so that neither a peer that is behind nor a store
-that came back older brings its endpoint back.
+A removed entry leaves a tombstone, so that neither a peer that is behind nor a
+store that was restored from an older copy brings its endpoint back.
 """
 
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.store import store as stores
 
-# Entries whose version is remembered although they are not in the list. It
-# holds the removals of an hour at the size built for.
-KEPT_VERSIONS = 1024
-# Seconds after the store's return from a copy for which an entry is held back
-# that was removed before: one that nobody renews is removed in that time.
-HOLD_S = 6.0
+# Number of kept versions of entries that are not in the list. It covers the
+# removals of an hour at the designed fleet size.
+MAX_VERSIONS = 1024
+# Seconds after a restore of the store for which a previously removed entry is
+# held back: the store removes it within that time if nobody renews it.
+HOLD_BACK_S = 6.0
 
 Listing = dict[str, stores.StoredObject]
 
 
-class VersionMemory:
-    """Versions of some entries by name; the ones kept for longest go first."""
+class VersionCache:
+    """Versions of some entries by name; the oldest are evicted first."""
 
     __slots__ = ("_versions",)
 
@@ -30,67 +30,68 @@
         self._versions: dict[str, positions.Position] = {}
 
     def note(self, stored: stores.StoredObject) -> None:
-        """Keeps the version of an entry."""
+        """Stores the version of an entry."""
         self._versions.pop(stored.name, None)
         self._versions[stored.name] = stored.version
-        if len(self._versions) > KEPT_VERSIONS:
+        if len(self._versions) > MAX_VERSIONS:
             del self._versions[next(iter(self._versions))]
 
     def find(self, name: str) -> positions.Position:
-        """Returns the version of an entry, ``NOWHERE`` if none is kept."""
+        """Returns the version of an entry, or ``NOWHERE``."""
         return self._versions.get(name, positions.NOWHERE)
 
     def forget(self, name: str) -> None:
-        """Forgets one entry."""
+        """Removes one entry."""
         self._versions.pop(name, None)
 
     def clear(self) -> None:
-        """Forgets all."""
+        """Removes all entries."""
         self._versions.clear()
 
 
-class Removals:
-    """What one instance remembers of removed entries."""
+class Tombstones:
+    """The tombstones of one instance."""
 
-    __slots__ = ("_admit", "_held", "_removed", "_timers")
+    __slots__ = ("_admit", "_held_back", "_removed", "_timers")
 
     def __init__(
         self,
         admit: Callable[[stores.StoredObject], None],
         timers: timer_service.Timers,
     ):
-        """Starts with none.
+        """Creates an empty set.
 
         Args:
-          admit: takes an entry that was held back and is listed still.
+          admit: receives an entry that was held back and is still listed.
           timers: callbacks.
         """
         self._admit = admit
         self._timers = timers
-        self._removed = VersionMemory()
-        self._held: Listing = {}
+        self._removed = VersionCache()
+        self._held_back: Listing = {}
 
     def note(self, stored: stores.StoredObject) -> None:
-        """Takes in a removal."""
+        """Records a removal."""
         self._removed.note(stored)
 
     def forget(self, name: str) -> None:
-        """Takes in that an entry is there again."""
+        """Drops the tombstone of an entry that exists again."""
         self._removed.forget(name)
 
     def note_change(self, name: str) -> None:
-        """Takes in a change of an entry, which is held back no more."""
-        self._held.pop(name, None)
+        """Stops holding back an entry that changed."""
+        self._held_back.pop(name, None)
 
     def is_outdated(self, stored: stores.StoredObject) -> bool:
-        """Says whether an entry was removed after it had been written."""
+        """Returns whether an entry was removed after it had been written."""
         return stored.version <= self._removed.find(stored.name)
 
     def hold_back(self, listed: Listing) -> Listing:
-        """Returns a list without what a copy brought back for a moment.
+        """Returns a list without entries that a restore may have revived.
 
-        An entry that was removed before and has not been written since may
-        stand in a copy. If it is listed for long it is renewed, so it counts.
+        The copy from which the store was restored may contain an entry that was
+        removed later. If the entry stays listed, somebody renews it, so it is
+        admitted.
         """
         copies = {
             name: stored
@@ -98,10 +99,10 @@
             if self._is_copy(stored)
         }
         for name, stored in copies.items():
-            if self._held.get(name) != stored:
+            if self._held_back.get(name) != stored:
                 step = functools.partial(self._end_hold, stored)
-                self._timers.call_later(HOLD_S, step)
-        self._held = copies
+                self._timers.call_later(HOLD_BACK_S, step)
+        self._held_back = copies
         return {n: s for n, s in listed.items() if n not in copies}
 
     def _is_copy(self, stored: stores.StoredObject) -> bool:
@@ -109,6 +110,6 @@
         return bool(removed) and stored.version.may_be_copy_of(removed)
 
     def _end_hold(self, stored: stores.StoredObject) -> None:
-        # A later return may have begun another hold of the same entry.
-        if self._held.get(stored.name) == stored:
+        # A later restore may have started another hold of the same entry.
+        if self._held_back.get(stored.name) == stored:
             self._admit(stored)
--- a/rhubarblock/exchange/statements.py
+++ b/rhubarblock/exchange/statements.py
@@ -1,7 +1,7 @@
-"""Takes in what endpoints say of themselves beside their answers.
+"""Handles what endpoints state about themselves in response headers.
 
-Every answer comes through here, those to orders about memory too, so that no
-statement decides on one way only.
+Every answer passes through here, also those to lease requests, so that a
+statement has the same effect whichever request it answers.
 """
 
 import logging
@@ -15,22 +15,22 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import cooldowns
 
-# Characters of an unreadable text that a log line holds.
+# Longest part of an unreadable text, in characters, that is logged.
 SHOWN_CHARACTERS = 40
-# Names of unknown fields that are told, once each.
-MOST_UNKNOWN = 32
+# Number of unknown field names that are logged, once each.
+MAX_UNKNOWN_FIELDS = 32
 
 _logger = logging.getLogger(__name__)
 
 
 class StatementHandler:
-    """Hands what endpoints say to what decides by it."""
+    """Passes statements of endpoints to the components that act on them."""
 
     __slots__ = (
         "_directory",
         "_limits",
         "_metrics",
-        "_rests",
+        "_cooldowns",
         "_timers",
         "_unknown",
     )
@@ -39,32 +39,32 @@
         self,
         directory: directories.Directory,
         limits: endpointlimits.EndpointLimits,
-        rests_: cooldowns.Cooldowns,
+        cooldowns_: cooldowns.Cooldowns,
         timers: timer_service.Timers,
         metrics: metric_store.Metrics,
     ):
-        """Starts with nothing heard.
+        """Creates a handler.
 
         Args:
-          directory: keeps who leaves.
-          limits: keeps to rate limits.
-          rests_: keeps rests.
+          directory: records which endpoints leave.
+          limits: enforces rate limits.
+          cooldowns_: records cool-downs.
           timers: the clock.
-          metrics: counts what was said and what can't be read.
+          metrics: counters of statements and of unreadable ones.
         """
         self._directory = directory
         self._limits = limits
-        self._rests = rests_
+        self._cooldowns = cooldowns_
         self._timers = timers
         self._metrics = metrics
         self._unknown: set[str] = set()
 
     def may_send(self, endpoint: lists.ListedEndpoint) -> bool:
-        """Says whether an endpoint wants a request at this moment."""
+        """Returns whether an endpoint accepts requests now."""
         name = endpoint.endpoint_id
         if self._directory.is_closed(name):
             return False
-        return not self._rests.is_cooling_down(
+        return not self._cooldowns.is_cooling_down(
             name, self._timers.read_monotonic()
         )
 
@@ -74,11 +74,11 @@
         fields: dialects.AnswerFields,
         sent_s: float,
     ) -> None:
-        """Takes in the head of an answer to an exchange.
+        """Handles the headers of an answer to an exchange.
 
         Args:
           endpoint: where the exchange was sent.
-          fields: the head; one of another endpoint is not taken in.
+          fields: decoded headers; those of another endpoint are ignored.
           sent_s: when the exchange was sent, in monotonic seconds.
         """
         if fields.misdirected:
@@ -87,42 +87,44 @@
             not fields.refused
             and fields.statement.cooldown == statements.NO_COOLDOWN
         ):
-            self._rests.note_accepted(endpoint.endpoint_id)
+            self._cooldowns.note_accepted(endpoint.endpoint_id)
         if fields.refused or not fields.sealed:
-            self.note_order(endpoint, fields.statement, sent_s)
+            self.note_partial_answer(endpoint, fields.statement, sent_s)
             return
-        # A limit that is not named any more has ended.
+        # A limit that is no longer stated has ended.
         limit = fields.statement.limit
         self._limits.note_answer(endpoint.endpoint_id, limit, sent_s)
-        self._note_rest_and_leaving(endpoint, fields.statement)
+        self._note_cooldown_and_leaving(endpoint, fields.statement)
 
-    def note_order(
+    def note_partial_answer(
         self,
         endpoint: lists.ListedEndpoint,
         statement: statements.Statement,
         sent_s: float,
     ) -> None:
-        """Takes in an answer that need not bear all fields.
+        """Handles an answer that may lack some fields.
 
         Args:
-          endpoint: where the order was sent.
-          statement: what the answer says.
-          sent_s: when the order was sent, in monotonic seconds.
+          endpoint: where the request was sent.
+          statement: what the answer states.
+          sent_s: when the request was sent, in monotonic seconds.
         """
-        self._limits.note_named(endpoint.endpoint_id, statement.limit, sent_s)
-        self._note_rest_and_leaving(endpoint, statement)
+        self._limits.note_if_stated(
+            endpoint.endpoint_id, statement.limit, sent_s
+        )
+        self._note_cooldown_and_leaving(endpoint, statement)
 
-    def _note_rest_and_leaving(
+    def _note_cooldown_and_leaving(
         self, endpoint: lists.ListedEndpoint, statement: statements.Statement
     ) -> None:
         if statement is statements.NOTHING:
             return
-        self._note_rest(endpoint, statement.cooldown)
+        self._note_cooldown(endpoint, statement.cooldown)
         if statement.is_leaving:
             self._note_leaving(endpoint)
-        self._tell_unknown(endpoint, statement.unknown)
+        self._log_unknown_fields(endpoint, statement.unknown)
 
-    def _note_rest(
+    def _note_cooldown(
         self,
         endpoint: lists.ListedEndpoint,
         cooldown: statements.StatedCooldown,
@@ -138,7 +140,7 @@
             )
         if cooldown.length_s:
             now_s = self._timers.read_monotonic()
-            self._rests.note(endpoint.endpoint_id, cooldown.length_s, now_s)
+            self._cooldowns.note(endpoint.endpoint_id, cooldown.length_s, now_s)
             _logger.info(
                 "endpoint asks for rest",
                 extra={
@@ -159,12 +161,15 @@
                 },
             )
 
-    def _tell_unknown(
+    def _log_unknown_fields(
         self, endpoint: lists.ListedEndpoint, unknown: tuple[str, ...]
     ) -> None:
-        """Tells of fields that no code reads, so that they don't stay so."""
+        """Logs fields that no code reads, so that somebody handles them."""
         for name in unknown:
-            if name in self._unknown or len(self._unknown) >= MOST_UNKNOWN:
+            if (
+                name in self._unknown
+                or len(self._unknown) >= MAX_UNKNOWN_FIELDS
+            ):
                 continue
             self._unknown.add(name)
             self._metrics.count("endpoints.unknown_fields")
--- a/rhubarblock/exchange/statements_test.py
+++ b/rhubarblock/exchange/statements_test.py
@@ -1,4 +1,4 @@
-"""What endpoints say beside their answers, as exchanges meet it."""
+"""Effects of endpoints' statements on exchanges."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.exchange import flow as flows
 from rhubarblock.exchange import leases
-from rhubarblock.exchange import places
+from rhubarblock.exchange import placements
 from rhubarblock.platform import names
 
 
-def turn_away(length, status="503 Service Unavailable"):
+def refuse_for(length, status="503 Service Unavailable"):
     return fakes.whole(
         b"",
         status,
@@ -33,9 +33,9 @@
     return sink.status
 
 
-def test_caller_is_refused_at_once_while_all_endpoints_rest():
+def test_caller_is_refused_at_once_while_all_endpoints_cool_down():
     async def main():
-        endpoint = fakes.ScriptedEndpoint(turn_away(600))
+        endpoint = fakes.ScriptedEndpoint(refuse_for(600))
         async with fakes.open_parts(endpoint) as parts:
             both = [await serve(parts) for _ in range(2)]
             return both, len(endpoint.heads)
@@ -48,9 +48,9 @@
         assert failure.retry_after_s >= 599.0
 
 
-def test_request_waits_for_a_rest_that_ends_soon():
+def test_request_waits_for_a_cooldown_that_ends_soon():
     async def main():
-        endpoint = fakes.ScriptedEndpoint(turn_away("0.2"), fakes.whole())
+        endpoint = fakes.ScriptedEndpoint(refuse_for("0.2"), fakes.whole())
         async with fakes.open_parts(endpoint) as parts:
             return await serve(parts), await serve(parts)
 
@@ -59,8 +59,8 @@
     assert status == 200
 
 
-def test_rest_that_no_caller_may_be_told_of_is_kept():
-    """A call that may not be repeated, turned away without a promise."""
+def test_cooldown_in_an_unsigned_refusal_is_kept():
+    """Sends a non-idempotent call, refused without a signature."""
 
     async def main():
         extra = f"{names.RETRY_AFTER}: 600\r\n"
@@ -74,18 +74,18 @@
     assert asyncio.run(main()) == 1
 
 
-def test_rest_that_another_endpoint_asked_at_its_address_is_not_its_own():
+def test_cooldown_of_another_endpoint_at_the_address_is_ignored():
     async def main():
-        endpoint = fakes.ScriptedEndpoint(turn_away(600, "421 Misdirected"))
+        endpoint = fakes.ScriptedEndpoint(refuse_for(600, "421 Misdirected"))
         async with fakes.open_parts(endpoint) as parts:
             await serve(parts)
-            return bool(parts.rests)
+            return bool(parts.cooldowns)
 
     assert not asyncio.run(main())
 
 
-class RestingEngines(fakes.NoLeases):
-    """Ask for rest in answer to orders."""
+class CoolingDownEngines(fakes.NoLeases):
+    """Engines that state a cool-down in lease answers."""
 
     async def reserve(self, endpoint, order):
         cooldown = statements.StatedCooldown(600.0)
@@ -94,13 +94,16 @@
         )
 
 
-def test_request_is_not_sent_after_its_engine_asked_for_rest_in_between():
+def test_request_is_not_sent_after_a_cooldown_in_a_lease_answer():
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with fakes.open_parts(endpoint) as parts:
             engine = parts.directory.find("e1")
             holder = leases.LeaseHolder(
-                RestingEngines(), fakes.BOUNDS, parts.statements, parts.timers
+                CoolingDownEngines(),
+                fakes.BOUNDS,
+                parts.statements,
+                parts.timers,
             )
             runner = attempts.AttemptRunner(
                 parts.placer,
@@ -111,10 +114,10 @@
                 parts.timers,
             )
             lease = leases.Lease(engine, "l1", 1000)
-            place = places.Place(engine, held=(lease,))
+            placement = placements.Placement(engine, held_leases=(lease,))
             flow = flows.Flow(fakes.make_exchange(), fakes.MemorySink())
             with pytest.raises(attempts.ClosedError):
-                await runner.run(flow, place, lambda reason: False)
+                await runner.run(flow, placement, lambda reason: False)
             return flow.history.sent, endpoint.heads
 
     assert asyncio.run(main()) == (False, [])
@@ -133,11 +136,11 @@
         fakes.whole(b"", "503 Full", LEAVES, seal=False),
     ],
 )
-def test_endpoint_leaves_with_any_answer_that_says_so(script):
+def test_any_answer_can_announce_that_the_endpoint_leaves(script):
     async def main():
         leaving = fakes.ScriptedEndpoint(script)
         async with fakes.open_parts(leaving) as parts:
-            # With another one, it is no last resort.
+            # Without another endpoint it would be used as a last resort.
             parts.directory.update(fakes.make_endpoint(2))
             await serve(parts)
             usable = parts.directory.list_usable("desk")
@@ -146,7 +149,7 @@
     assert asyncio.run(main()) == ["e2"]
 
 
-def test_stream_of_an_endpoint_that_leaves_ends_there():
+def test_stream_of_a_leaving_endpoint_ends_there():
     async def main():
         leaving = fakes.ScriptedEndpoint(fakes.events(1, 2, 3, extra=LEAVES))
         other = fakes.ScriptedEndpoint()
@@ -160,7 +163,7 @@
 
 
 class LeavingEngines(fakes.NoLeases):
-    """Say in answer to a release that they leave."""
+    """Engines that announce in a release answer that they leave."""
 
     async def release(self, endpoint, lease_id):
         return dialects.LeaseReply(
@@ -168,7 +171,7 @@
         )
 
 
-def test_engine_leaves_with_the_answer_to_an_order():
+def test_lease_answer_can_announce_that_the_engine_leaves():
     async def main():
         async with fakes.open_parts(fakes.ScriptedEndpoint()) as parts:
             engine = parts.directory.find("e1")
