--- a/rhubarblock/exchange/transport.py
+++ b/rhubarblock/exchange/transport.py
@@ -1,9 +1,9 @@
-"""Connections to endpoints, over the HTTP library.
+"""Sends exchanges to endpoints over aiohttp.
 
-The library's client is made for calls of one's own: it follows redirects,
-keeps cookies, sends again, and takes whatever comes next on a kept connection
-for the next answer. Here every byte belongs to a certain caller, so all of
-that is switched off or checked.
+aiohttp's client is made for an application's own requests: it follows
+redirects, keeps cookies, retries, and takes whatever arrives next on a
+keep-alive connection for the next answer. Here every byte belongs to one
+caller, so all of that is disabled or checked.
 """
 
 import asyncio
@@ -28,23 +28,23 @@
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.store import sendonce
 
-# Seconds that a new connection may take: a hundred times the way between two
-# data centres, and short enough to go elsewhere within a caller's objective.
+# Connect timeout in seconds: a hundred times the latency between two data
+# centres, and short enough to retry elsewhere within a caller's objective.
 CONNECT_TIMEOUT_S = 0.25
-# Seconds for which a kept connection is used again. An endpoint closes idle
-# ones by itself; one that is about to be closed would lose the next request.
-KEEP_S = 4.0
-# Seconds before the end of an endpoint's own idle time from which a connection
-# is not used: a request must be there before the endpoint closes it.
-KEEP_MARGIN_S = 0.5
-# Milliseconds after which unacknowledged bytes break a connection, so that a
-# silent one does not hold its request until the deadline.
-SILENT_MS = 2_000
-# Seconds after which, and between which, the system asks a silent connection
-# for a sign. Together with the bound above a machine that is gone is noticed
-# after three seconds, a second before memory held for its request must be free.
-PROBE_S = 1
-# Library errors that mean that nothing was sent.
+# Time in seconds for which an idle connection is reused. Endpoints close idle
+# connections, and one that is about to be closed would lose the next request.
+KEEPALIVE_S = 4.0
+# Seconds before an endpoint's own idle timeout from which a connection is not
+# reused: a request must arrive before the endpoint closes it.
+KEEPALIVE_MARGIN_S = 0.5
+# Milliseconds after which unacknowledged data breaks a connection, so that a
+# dead one does not hold its request until the deadline.
+UNACKED_TIMEOUT_MS = 2_000
+# Idle time and interval in seconds of TCP keep-alive probes. Together with the
+# bound above they detect a lost machine after three seconds, a second before
+# the memory leases of its request must be free.
+KEEPALIVE_PROBE_S = 1
+# aiohttp errors that mean that nothing was sent.
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _FAILED = (
     aiohttp.ClientError,
@@ -60,14 +60,14 @@
 
 
 class EndpointProtocol(client_proto.ResponseHandler):
-    """A connection that gives each request its own answer only.
+    """A connection that matches each answer to its request.
 
     Attributes:
-      expected_id: id that the answer to the present request echoes.
+      expected_id: id that the answer to the current request echoes.
       was_reset: whether the connection ended with an error.
     """
 
-    # The field in which an endpoint says how long it keeps an idle connection.
+    # Parameter of Keep-Alive with an endpoint's idle timeout in seconds.
     _IDLE_TIME = re.compile(r"\btimeout=(\d{1,9})(?!\w)", re.IGNORECASE)
 
     def __init__(self, loop: asyncio.AbstractEventLoop, attempt_header: str):
@@ -79,10 +79,13 @@
         self._used_s = loop.time()
 
     def is_connected(self) -> bool:
-        # Bytes that came while nothing was asked belong to no request.
+        # Data that arrived on an idle connection belongs to no request.
         if not super().is_connected() or self.should_close:
             return False
-        return self._loop.time() <= self._used_s + self._idle_s - KEEP_MARGIN_S
+        return (
+            self._loop.time()
+            <= self._used_s + self._idle_s - KEEPALIVE_MARGIN_S
+        )
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if exc is not None:
@@ -97,7 +100,7 @@
             echoed = message.headers.get(self._attempt_header)
             if echoed is None or echoed == self.expected_id:
                 return message, payload
-            # A late answer to a request that was given up.
+            # A late answer to an abandoned request.
             await payload.read()
 
     def data_received(self, data: bytes) -> None:
@@ -111,7 +114,7 @@
 
 
 class EndpointRequest(aiohttp.ClientRequest):
-    """Tells the connection which answer it is to expect."""
+    """Sets which answer the connection expects."""
 
     ATTEMPT_HEADER = ""
 
@@ -121,10 +124,10 @@
 
 
 class EndpointResponse(aiohttp.ClientResponse):
-    """Remembers its connection beyond the end of its body.
+    """Keeps a reference to its connection after the end of its body.
 
     Attributes:
-      endpoint_protocol: the connection that it came on.
+      endpoint_protocol: connection on which it arrived.
     """
 
     endpoint_protocol: EndpointProtocol | None = None
@@ -153,19 +156,19 @@
 
     @property
     def length(self) -> int | None:
-        """Length of the body in bytes if the head gives it."""
+        """Length of the body in bytes, or None if the headers lack it."""
         return self._response.content_length
 
     async def read_some(self) -> bytes:
-        """Returns the next bytes of the body, empty at its whole end.
+        """Returns the next bytes of the body, empty at its regular end.
 
         Raises:
-          AttemptError: it broke off.
+          AttemptError: the body was cut off.
         """
         with translate_errors():
             data = await self._response.content.readany()
         if not data and self._was_reset():
-            # Without a length, a reset looks like the end to the library.
+            # Without a length, a reset looks like the end to aiohttp.
             raise make_error("the connection was reset within the answer")
         return data
 
@@ -184,21 +187,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EndpointSessions:
-    """The library's sessions for calls to endpoints.
+    """The aiohttp sessions for requests to endpoints.
 
     Attributes:
-      usual: for most exchanges. An engine may be silent for long and sound, and
-        a way that is cut may heal in time, so a silent connection is kept.
-      probed: for exchanges that hold memory at other engines. A connection is
-        broken when the machine at its other end answers no probes.
+      unprobed: for most exchanges. A healthy engine may be silent for long, and
+        a network cut may heal in time, so an idle connection is kept.
+      probed: for exchanges with memory leases at other engines. A connection is
+        broken when the remote machine answers no TCP keep-alive probes.
     """
 
-    usual: aiohttp.ClientSession
+    unprobed: aiohttp.ClientSession
     probed: aiohttp.ClientSession
 
 
 class EndpointTransport:
-    """Sends exchanges to endpoints and gives their answers."""
+    """Sends exchanges to endpoints and returns their answers."""
 
     __slots__ = ("_dialect", "_sessions")
 
@@ -212,28 +215,28 @@
         self,
         exchange: exchanges.Exchange,
         address: str,
-        order: dialects.SendOptions,
+        options: dialects.SendOptions,
     ) -> AsyncIterator[Answer]:
-        """Sends an exchange once and owns the answer.
+        """Sends an exchange once; the answer is open within the context.
 
         Args:
-          exchange: what to send.
+          exchange: the exchange to send.
           address: ``host:port`` of the endpoint.
-          order: how it is addressed.
+          options: options of this attempt.
 
         Yields:
           The answer; its connection is closed unless it was read to the end.
 
         Raises:
-          AttemptError: it could not be sent, or no answer came.
+          AttemptError: it could not be sent, or no valid answer arrived.
         """
         sessions = self._sessions
-        session = sessions.probed if order.holds_memory else sessions.usual
+        session = sessions.probed if options.holds_memory else sessions.unprobed
         with translate_errors():
             response = await session.request(
                 exchange.method,
                 yarl.URL(f"http://{address}{exchange.target}", encoded=True),
-                headers=self._dialect.address(exchange, order),
+                headers=self._dialect.address(exchange, options),
                 data=exchange.body or None,
                 allow_redirects=False,
                 middlewares=(sendonce.send_once,),
@@ -249,7 +252,7 @@
 
 @contextlib.contextmanager
 def translate_errors() -> Any:
-    """Turns the library's errors into attempt errors with a verdict."""
+    """Translates aiohttp errors to attempt errors with a verdict."""
     try:
         yield
     except _NOT_SENT as error:
@@ -262,7 +265,7 @@
     message: str,
     verdict: verdicts.Verdict = verdicts.Verdict.MAY_HAVE_RUN,
 ) -> AttemptError:
-    """Returns the error of an attempt that an endpoint or the way failed."""
+    """Returns the error of an attempt that the endpoint or network failed."""
     return AttemptError(
         failures.Failure(failures.FailureCode.ENDPOINT_FAILED, message, verdict)
     )
@@ -272,19 +275,19 @@
 async def open_sessions(
     attempt_header: str,
 ) -> AsyncIterator[EndpointSessions]:
-    """Opens sessions for calls to endpoints.
+    """Opens sessions for requests to endpoints.
 
     Args:
-      attempt_header: name of the field that an answer echoes.
+      attempt_header: name of the header field that answers echo.
 
     Yields:
-      The sessions, closed with the context.
+      The sessions; they are closed with the context.
     """
     async with (
-        _open_session(attempt_header, _make_socket) as usual,
+        _open_session(attempt_header, _make_socket) as unprobed,
         _open_session(attempt_header, _make_probed_socket) as probed,
     ):
-        yield EndpointSessions(usual, probed)
+        yield EndpointSessions(unprobed, probed)
 
 
 @contextlib.asynccontextmanager
@@ -294,11 +297,11 @@
     loop = asyncio.get_running_loop()
     connector = aiohttp.TCPConnector(
         limit=0,
-        keepalive_timeout=KEEP_S,
+        keepalive_timeout=KEEPALIVE_S,
         socket_factory=make_socket,
         happy_eyeballs_delay=None,
     )
-    # The library gives no other way to choose the class of its connections.
+    # aiohttp has no public way to choose the class of its connections.
     connector._factory = functools.partial(  # type: ignore[assignment]
         EndpointProtocol, loop=loop, attempt_header=attempt_header
     )
@@ -321,17 +324,21 @@
 
 def _make_socket(address: Any) -> socket.socket:
     family, kind, protocol = address[:3]
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
-    return made
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS
+    )
+    return sock
 
 
 def _make_probed_socket(address: Any) -> socket.socket:
-    made = _make_socket(address)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_S)
-    made.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_KEEPCNT, SILENT_MS // 1000 // PROBE_S
+    sock = _make_socket(address)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S)
+    sock.setsockopt(
+        socket.IPPROTO_TCP,
+        socket.TCP_KEEPCNT,
+        UNACKED_TIMEOUT_MS // 1000 // KEEPALIVE_PROBE_S,
     )
-    return made
+    return sock
--- a/rhubarblock/exchange/transport_test.py
+++ b/rhubarblock/exchange/transport_test.py
@@ -11,7 +11,7 @@
 from rhubarblock.exchange import transport as transports
 from rhubarblock.platform import names
 
-ORDER = dialects.SendOptions("e1", 1.0)
+OPTIONS = dialects.SendOptions("e1", 1.0)
 
 
 async def read_all(answer):
@@ -24,7 +24,7 @@
 async def call(parts, endpoint, **changes):
     exchange = fakes.make_exchange(**changes)
     async with parts.transport.send(
-        exchange, endpoint.address, ORDER
+        exchange, endpoint.address, OPTIONS
     ) as answer:
         return answer.status, await read_all(answer)
 
@@ -46,7 +46,7 @@
     return asyncio.run(main())
 
 
-def test_request_goes_on_unchanged_and_nothing_is_added():
+def test_request_is_forwarded_unchanged():
     results, endpoint = run([fakes.whole()], call)
     assert results == [(200, b"ok")]
     head = endpoint.heads[0]
@@ -62,7 +62,7 @@
     ]
 
 
-def test_late_answer_to_another_request_is_passed_over():
+def test_late_answer_to_another_request_is_skipped():
     async def late_then_own(head, writer):
         await fakes.whole(b"other", request_id="q0")(head, writer)
         await fakes.whole(b"own")(head, writer)
@@ -71,7 +71,7 @@
     assert results == [(200, b"own")]
 
 
-def test_bytes_on_an_idle_connection_make_it_unusable():
+def test_connection_with_unexpected_data_is_not_reused():
     async def with_extra(head, writer):
         await fakes.whole(b"own")(head, writer)
         await fakes.whole(b"extra")(head, writer)
@@ -93,21 +93,19 @@
         ("Keep-Alive: timeout=60\r\n", 1),
         ("Keep-Alive: max=5, timeout=60\r\n", 1),
         ("Keep-Alive: timeout=soon\r\n", 1),
-        # Less than the way there may take.
+        # Shorter than the margin for the request's latency.
         ("Keep-Alive: timeout=0\r\n", 2),
         ("Keep-Alive: max=5, Timeout=0\r\n", 2),
     ],
 )
-def test_connection_is_not_used_when_the_endpoint_may_close_it(
-    field, connections
-):
+def test_connection_near_its_idle_timeout_is_not_reused(field, connections):
     script = fakes.whole(extra=field)
     _, endpoint = run([script, script], call, call)
     assert len(endpoint.heads) == 2
     assert endpoint.connections == connections
 
 
-def test_answer_without_length_that_is_reset_is_not_whole():
+def test_reset_of_an_answer_without_length_is_an_error():
     async def unframed_reset(head, writer):
         writer.write(
             f"HTTP/1.1 200 OK\r\n{fakes.ATTEMPT}: q1\r\n"
@@ -115,7 +113,7 @@
         )
         await writer.drain()
         await asyncio.sleep(0.05)
-        # Closing a socket that does not linger sends a reset.
+        # Closing a socket with a linger time of 0 sends a reset.
         raw = writer.get_extra_info("socket")
         raw.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -127,7 +125,7 @@
     assert results == [verdicts.Verdict.MAY_HAVE_RUN]
 
 
-def test_answer_without_length_that_is_closed_is_whole():
+def test_close_ends_an_answer_without_length():
     async def unframed(head, writer):
         writer.write(
             f"HTTP/1.1 200 OK\r\n{fakes.ATTEMPT}: q1\r\n"
@@ -140,7 +138,7 @@
     assert results == [(200, b"whole")]
 
 
-def test_answer_that_breaks_off_is_an_error():
+def test_truncated_answer_is_an_error():
     async def short(head, writer):
         writer.write(
             f"HTTP/1.1 200 OK\r\n{fakes.ATTEMPT}: q1\r\n"
@@ -175,7 +173,7 @@
     assert len(endpoint.heads) == 1
 
 
-def test_connection_that_is_refused_says_not_run():
+def test_refused_connection_gives_not_run():
     async def main():
         endpoint = fakes.ScriptedEndpoint()
         async with endpoint.open():
@@ -188,7 +186,7 @@
     assert asyncio.run(main()) is verdicts.Verdict.NOT_RUN
 
 
-def test_answer_of_nobody_is_an_error():
+def test_answer_without_a_request_id_is_an_error():
     async def anonymous(head, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
@@ -196,7 +194,7 @@
     assert results == [verdicts.Verdict.MAY_HAVE_RUN]
 
 
-def test_bytes_that_are_no_answer_are_an_error():
+def test_malformed_answer_is_an_error():
     async def garbage(head, writer):
         writer.write(b"\x00\x01 not http\r\n\r\n")
 
@@ -204,8 +202,12 @@
     assert results == [verdicts.Verdict.MAY_HAVE_RUN]
 
 
-HELD = dataclasses.replace(ORDER, helpers=(dialects.Helper("h:1", "lease-1"),))
-LENT = dataclasses.replace(ORDER, helpers=(dialects.Helper("h:1", ""),))
+WITH_LEASE = dataclasses.replace(
+    OPTIONS, helpers=(dialects.Helper("h:1", "lease-1"),)
+)
+WITHOUT_LEASE = dataclasses.replace(
+    OPTIONS, helpers=(dialects.Helper("h:1", ""),)
+)
 PROBE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE),
@@ -214,23 +216,24 @@
 )
 
 
-def find_options(sessions, order):
-    """Returns the options of the only connection in use, whichever it is."""
-    session = sessions.probed if order.holds_memory else sessions.usual
+def find_options(sessions, options):
+    """Returns the keep-alive options of the only connection in use."""
+    session = sessions.probed if options.holds_memory else sessions.unprobed
     (protocol,) = session.connector._acquired
     used = protocol.transport.get_extra_info("socket")
     return [used.getsockopt(*option) for option in PROBE_OPTIONS]
 
 
 @pytest.mark.parametrize(
-    ("order", "is_probed", "times"), [(HELD, 1, [1, 1, 2]), (LENT, 0, None)]
+    ("options", "is_probed", "times"),
+    [(WITH_LEASE, 1, [1, 1, 2]), (WITHOUT_LEASE, 0, None)],
 )
-def test_machine_that_is_gone_is_noticed_while_memory_is_held(
-    order, is_probed, times
+def test_lost_machine_is_detected_while_leases_are_held(
+    options, is_probed, times
 ):
-    """The engine never answers, as one that reads a giant or lost its power.
+    """A machine that lost its power must not look like a long prefill.
 
-    Only the system's own probes tell one from the other.
+    Neither answers, so only TCP keep-alive probes can tell them apart.
     """
     asked = asyncio.Event()
 
@@ -240,7 +243,7 @@
 
     async def send(parts, endpoint):
         exchange = fakes.make_exchange()
-        async with parts.transport.send(exchange, endpoint.address, order):
+        async with parts.transport.send(exchange, endpoint.address, options):
             raise AssertionError("it never answers")
 
     async def main():
@@ -248,10 +251,10 @@
         async with fakes.open_parts(endpoint) as parts:
             sending = asyncio.create_task(send(parts, endpoint))
             await asked.wait()
-            options = find_options(parts.sessions, order)
+            socket_options = find_options(parts.sessions, options)
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
-            return options
+            return socket_options
 
     found = asyncio.run(main())
     assert found[0] == is_probed
