--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for developers: checks of the tree, and the soak."""
+"""Developer tools: source checks, the soak test and comparisons of code."""
--- a/tools/check_comments.py
+++ b/tools/check_comments.py
@@ -1,7 +1,7 @@
-"""Checks that comments and docstrings hold no figures of runs.
+"""Checks that comments and docstrings quote no measured results.
 
-What was measured belongs into the commit message or a page of docs: it is true
-for one day and one machine, and a comment outlives both.
+Results belong in commit messages or documentation: they hold for one revision
+and one machine, and a comment outlives both.
 """
 
 import ast
@@ -12,7 +12,7 @@
 import tokenize
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# Words that a figure of a run comes with.
+# Wording that accompanies a measured result.
 FIGURES = re.compile(
     r"\bengine model, \w+ plays?\b|\bplays of\b"
     r"|\bbenchmarks/\w+\.py\b.*\bms\b|\binstead of \d+\.\d+"
@@ -22,7 +22,7 @@
 
 
 def list_comments(text: str) -> list[tuple[int, str]]:
-    """Returns comments and docstrings with their first lines."""
+    """Returns comments and docstrings, each with the number of its line."""
     found = []
     tokens = tokenize.generate_tokens(io.StringIO(text).readline)
     for token in tokens:
@@ -39,17 +39,17 @@
 
 
 def find_faults(path: pathlib.Path) -> list[str]:
-    """Returns one line for each comment with a figure of a run."""
-    place = path.relative_to(ROOT)
+    """Returns a message for each comment that quotes a measured result."""
+    relative = path.relative_to(ROOT)
     return [
-        f"{place}:{number}: holds a figure of a run: {text[:60]}"
+        f"{relative}:{number}: holds a figure of a run: {text[:60]}"
         for number, text in list_comments(path.read_text())
         if FIGURES.search(text)
     ]
 
 
 def main() -> int:
-    """Prints the faults and returns the exit status."""
+    """Prints all violations and returns the exit status."""
     paths = sorted((ROOT / "rhubarblock").rglob("*.py"))
     paths = [
         path
--- a/tools/check_comments_test.py
+++ b/tools/check_comments_test.py
@@ -1,4 +1,4 @@
-"""The check of comments, on tiny sources."""
+"""Tests of the check of comments."""
 
 import pathlib
 
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,8 +1,8 @@
-"""Checks that our modules import modules and not names.
+"""Checks that modules of this project import modules and not names.
 
-The Google Python Style Guide asks for it and the linter has no rule for it.
-A ``from package import name`` passes when ``name`` is a module or when the
-package is one of those that the guide exempts.
+The Google Python Style Guide requires it, but the linter has no rule for it.
+``from package import name`` passes if ``name`` is a module or the guide exempts
+the package.
 """
 
 import ast
@@ -13,8 +13,8 @@
 EXEMPT = {"typing", "collections.abc", "__future__"}
 
 
-def names_module(package: str, name: str) -> bool:
-    """Says whether ``package.name`` is a module of this project."""
+def is_module(package: str, name: str) -> bool:
+    """Returns whether ``package.name`` is a module of this project."""
     if name.startswith("__"):
         return True
     base = ROOT.joinpath(*package.split("."), name)
@@ -22,7 +22,7 @@
 
 
 def find_faults(path: pathlib.Path) -> list[str]:
-    """Returns one line for each import of a name in a file."""
+    """Returns a message for each import of a name in a file."""
     faults = []
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module in EXEMPT:
@@ -30,14 +30,14 @@
         if node.module is None or not node.module.startswith("rhubarblock"):
             continue
         for alias in node.names:
-            if not names_module(node.module, alias.name):
-                place = path.relative_to(ROOT)
-                faults.append(f"{place}:{node.lineno}: imports {alias.name}")
+            if not is_module(node.module, alias.name):
+                relative = path.relative_to(ROOT)
+                faults.append(f"{relative}:{node.lineno}: imports {alias.name}")
     return faults
 
 
 def main() -> int:
-    """Prints the faults and returns the exit status."""
+    """Prints all violations and returns the exit status."""
     paths = sorted((ROOT / "rhubarblock").rglob("*.py"))
     paths = [path for path in paths if "_pb2" not in path.name]
     faults = [fault for path in paths for fault in find_faults(path)]
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -1,7 +1,8 @@
-"""Checks that imports point only downwards through the packages.
+"""Checks that no package imports from a package of a higher layer.
 
-The order stands in pyproject.toml, the lowest package last. Tests stand beside
-the code that they test and may use the stand-ins, so they are left out.
+The order of the layers is in pyproject.toml, the highest first. Tests live
+beside the code that they test and may use the stand-ins, so they are not
+checked.
 """
 
 import pathlib
@@ -14,21 +15,21 @@
 PACKAGE = "rhubarblock"
 
 
-def read_order() -> dict[str, int]:
-    """Returns the height of each package; 0 is the lowest."""
+def read_layers() -> dict[str, int]:
+    """Returns the layer of each package; 0 is the lowest."""
     text = (ROOT / "pyproject.toml").read_text()
     layers = tomllib.loads(text)["tool"]["rhubarblock"]["layers"]
     return {name: height for height, name in enumerate(reversed(layers))}
 
 
 def find_package(module: str) -> str:
-    """Returns the package within ours that a module belongs to."""
+    """Returns the package of this project that a module belongs to."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else ""
 
 
 def find_faults(heights: dict[str, int]) -> list[str]:
-    """Returns one line for each import that points upwards."""
+    """Returns a message for each import from a higher layer."""
     graph = grimp.build_graph(PACKAGE, cache_dir=None)
     faults = []
     for module in sorted(graph.modules):
@@ -39,15 +40,18 @@
             faults.append(f"{module}: package {package} has no layer")
             continue
         for imported in sorted(graph.find_modules_directly_imported_by(module)):
-            below = find_package(imported)
-            if below and heights.get(below, -1) > heights[package]:
+            imported_package = find_package(imported)
+            if (
+                imported_package
+                and heights.get(imported_package, -1) > heights[package]
+            ):
                 faults.append(f"{module} imports {imported}")
     return faults
 
 
 def main() -> int:
-    """Prints the faults and returns the exit status."""
-    faults = find_faults(read_order())
+    """Prints all violations and returns the exit status."""
+    faults = find_faults(read_layers())
     for fault in faults:
         print(fault)
     return 1 if faults else 0
--- a/tools/check_platform.py
+++ b/tools/check_platform.py
@@ -1,7 +1,8 @@
-"""Checks that the platform's words stay in its adapter, which decides nothing.
+"""Checks that the platform's protocol is confined to its adapter.
 
-No name of the platform's protocol may stand in a module outside the adapter,
-and the adapter may import only types and interfaces of the product.
+No module outside the adapter may use a name of the protocol. The adapter only
+translates: it may import types and interfaces, but no logic, and it must stay
+small.
 """
 
 import pathlib
@@ -12,14 +13,14 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 ADAPTER = "rhubarblock.platform"
-ADAPTER_LINES = 1_200
+MAX_ADAPTER_LINES = 1_200
 WORDS = re.compile(
     r"X-Rhubarblock-|RHUBARBLOCK_BOOT|At-Server|Server-Limit|Server-Leaving|Store-Era|"
     r"routeKind|stickySessions|targetLatencyMs|trafficSplit|pathPrefix|"
     r"streamResume|gapTargetMs|kvCapacityTokens|apiKeys|storeRevision|"
     r"platformSettings|tokenCount|holdMs"
 )
-# What the adapter may know of the product.
+# Modules that the adapter may import.
 ALLOWED = (
     "rhubarblock.core",
     "rhubarblock.exchange.dialect",
@@ -30,8 +31,8 @@
 )
 
 
-def find_words() -> list[str]:
-    """Returns one line for each word of the platform outside its adapter."""
+def find_platform_names() -> list[str]:
+    """Returns a message for each protocol name outside the adapter."""
     faults = []
     adapter = ROOT / "rhubarblock" / "platform"
     for path in sorted((ROOT / "rhubarblock").rglob("*.py")):
@@ -39,13 +40,13 @@
             continue
         for number, line in enumerate(path.read_text().splitlines(), 1):
             if WORDS.search(line):
-                place = path.relative_to(ROOT)
-                faults.append(f"{place}:{number}: {line.strip()}")
+                relative = path.relative_to(ROOT)
+                faults.append(f"{relative}:{number}: {line.strip()}")
     return faults
 
 
-def find_imports() -> list[str]:
-    """Returns one line for each import of the adapter that is not allowed."""
+def find_disallowed_imports() -> list[str]:
+    """Returns a message for each import of the adapter that is not allowed."""
     graph = grimp.build_graph("rhubarblock", cache_dir=None)
     faults = []
     for module in sorted(graph.modules):
@@ -58,21 +59,21 @@
 
 
 def check_size() -> list[str]:
-    """Returns a line if the adapter, without tests, has grown too large."""
+    """Returns a message if the adapter, without tests, is too large."""
     adapter = ROOT / "rhubarblock" / "platform"
     lines = sum(
         len(path.read_text().splitlines())
         for path in adapter.glob("*.py")
         if not path.name.endswith("_test.py")
     )
-    if lines <= ADAPTER_LINES:
+    if lines <= MAX_ADAPTER_LINES:
         return []
-    return [f"the adapter has {lines} lines, {ADAPTER_LINES} are allowed"]
+    return [f"the adapter has {lines} lines, {MAX_ADAPTER_LINES} are allowed"]
 
 
 def main() -> int:
-    """Prints the faults and returns the exit status."""
-    faults = find_words() + find_imports() + check_size()
+    """Prints all violations and returns the exit status."""
+    faults = find_platform_names() + find_disallowed_imports() + check_size()
     for fault in faults:
         print(fault)
     return 1 if faults else 0
--- a/tools/check_positions.py
+++ b/tools/check_positions.py
@@ -1,15 +1,15 @@
 """Checks that nothing compares or computes with the revision of a position.
 
-A revision says something only within its era, so positions are compared as
-wholes. Other things have a revision too, above all a catalogue, so a revision
-counts as one of a position only where the object shows what it is:
+Revisions of different eras are not comparable, so code must compare whole
+positions. Catalogues and other objects have a revision too, so the check
+treats an object as a position only if
 
-* it is called ``version`` or ``expected_version``, as the store's interface
-  calls its positions; no catalogue is called so;
-* its name, attribute or call is annotated or made as a ``Position`` in the
+* it is named ``version`` or ``expected_version``, as in the store's interface;
+  no catalogue has these names;
+* its name, attribute or call is annotated or assigned as a ``Position`` in the
   same module.
 
-A revision that was put under a name of its own first is not followed.
+A revision that is assigned to a variable first is not detected.
 """
 
 import ast
@@ -18,27 +18,27 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# It may look inside: this is where positions are ordered.
+# Exempt: this module defines the order of positions.
 OWNER = ROOT / "rhubarblock" / "core" / "position.py"
 FOLDERS = ("rhubarblock", "tools", "features", "benchmarks")
-# What the store's interface calls its positions.
+# Names of positions in the store's interface.
 NAMES = frozenset({"version", "expected_version"})
 _FUNCTIONS = (ast.FunctionDef, ast.AsyncFunctionDef)
 
 
-def _find_name(node: ast.expr) -> str:
-    """Returns the last name of what is read or called, or nothing."""
+def _get_last_name(node: ast.expr) -> str:
+    """Returns the last name of a variable, attribute or call, or ``""``."""
     if isinstance(node, ast.Await):
-        return _find_name(node.value)
+        return _get_last_name(node.value)
     if isinstance(node, ast.Call):
-        return _find_name(node.func)
+        return _get_last_name(node.func)
     if isinstance(node, ast.Attribute):
         return node.attr
     return node.id if isinstance(node, ast.Name) else ""
 
 
-def _names_position(annotation: ast.expr | None) -> bool:
-    """Says whether an annotation is a position, or one or None."""
+def _is_position_type(annotation: ast.expr | None) -> bool:
+    """Returns whether an annotation is ``Position``, also with None."""
     if isinstance(annotation, ast.Constant):
         text = str(annotation.value)
     else:
@@ -48,28 +48,31 @@
 
 
 def _makes_position(value: ast.expr | None) -> bool:
-    """Says whether an expression is a new position or a known one."""
-    return value is not None and _find_name(value) in {"Position", "NOWHERE"}
+    """Returns whether an expression constructs or names a position."""
+    return value is not None and _get_last_name(value) in {
+        "Position",
+        "NOWHERE",
+    }
 
 
 def find_positions(tree: ast.Module) -> set[str]:
-    """Returns the names that stand for a position in a module."""
+    """Returns the names that denote positions in a module."""
     names = set(NAMES)
     for node in ast.walk(tree):
-        if isinstance(node, ast.arg) and _names_position(node.annotation):
+        if isinstance(node, ast.arg) and _is_position_type(node.annotation):
             names.add(node.arg)
-        elif isinstance(node, _FUNCTIONS) and _names_position(node.returns):
+        elif isinstance(node, _FUNCTIONS) and _is_position_type(node.returns):
             names.add(node.name)
         elif isinstance(node, ast.AnnAssign):
-            if _names_position(node.annotation):
-                names.add(_find_name(node.target))
+            if _is_position_type(node.annotation):
+                names.add(_get_last_name(node.target))
         elif isinstance(node, ast.Assign) and _makes_position(node.value):
-            names.update(_find_name(target) for target in node.targets)
+            names.update(_get_last_name(target) for target in node.targets)
     return names
 
 
 def _list_operands(node: ast.AST) -> list[ast.expr]:
-    """Returns what a node compares or computes with."""
+    """Returns the operands of a comparison or an arithmetic operation."""
     if isinstance(node, ast.Compare):
         return [node.left, *node.comparators]
     if isinstance(node, ast.BinOp):
@@ -80,29 +83,31 @@
 
 
 def find_revisions(tree: ast.Module) -> Iterator[ast.Attribute]:
-    """Yields the revisions of positions that something is done with."""
+    """Yields the revisions of positions that are operands."""
     names = find_positions(tree)
     for node in ast.walk(tree):
         for operand in _list_operands(node):
             if not isinstance(operand, ast.Attribute):
                 continue
             owner = operand.value
-            is_position = _find_name(owner) in names or _makes_position(owner)
+            is_position = _get_last_name(owner) in names or _makes_position(
+                owner
+            )
             if operand.attr == "revision" and is_position:
                 yield operand
 
 
 def find_faults(path: pathlib.Path) -> list[str]:
-    """Returns one line for each revision of a position used as a number."""
-    place = path.relative_to(ROOT)
+    """Returns a message for each revision that is used without its era."""
+    relative = path.relative_to(ROOT)
     return [
-        f"{place}:{found.lineno}: uses {ast.unparse(found)} without its era"
+        f"{relative}:{found.lineno}: uses {ast.unparse(found)} without its era"
         for found in find_revisions(ast.parse(path.read_text()))
     ]
 
 
 def main() -> int:
-    """Prints the faults and returns the exit status."""
+    """Prints all violations and returns the exit status."""
     paths = [
         path
         for folder in FOLDERS
--- a/tools/check_positions_test.py
+++ b/tools/check_positions_test.py
@@ -1,4 +1,4 @@
-"""The check of positions, on tiny sources."""
+"""Tests of the check of positions."""
 
 import ast
 
@@ -38,7 +38,7 @@
         "number += after.revision",
     ],
 )
-def test_revisions_of_positions_are_not_numbers(use):
+def test_revision_of_a_position_as_an_operand_is_found(use):
     found = list(check_positions.find_revisions(ast.parse(HEADER + use)))
     assert len(found) == 1
 
@@ -54,12 +54,12 @@
         "self.revision > request.revision",
     ],
 )
-def test_positions_and_other_revisions_are_free(use):
+def test_whole_positions_and_other_revisions_are_allowed(use):
     tree = ast.parse(HEADER + use)
     assert not list(check_positions.find_revisions(tree))
 
 
-def test_faults_tell_the_place(monkeypatch, tmp_path):
+def test_message_names_file_and_line(monkeypatch, tmp_path):
     monkeypatch.setattr(check_positions, "ROOT", tmp_path)
     path = tmp_path / "x.py"
     path.write_text("\nis_late = stored.version.revision > 3\n")
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(("use", "status"), [("== x", 1), ("", 0)])
-def test_status_tells_of_faults(monkeypatch, tmp_path, use, status):
+def test_exit_status_depends_on_violations(monkeypatch, tmp_path, use, status):
     monkeypatch.setattr(check_positions, "ROOT", tmp_path)
     (tmp_path / "tools").mkdir()
     (tmp_path / "tools" / "x.py").write_text(f"stored.version.revision {use}")
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A randomized soak of the real programs as separate processes on loopback.
+"""A seeded soak test that runs the real program in processes on loopback.
 
-``run.py`` starts entry instances, plays the platform around them (store,
-engines, callers), injects faults from outside by a seed, and checks what
-callers and endpoints see while it runs.
+``run.py`` starts entry instances, simulates the platform around them (store,
+endpoints and callers), injects faults from outside in an order that follows
+from a seed, and checks invariants on what callers and endpoints observe.
 """
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that check each answer against what they asked."""
+"""Callers that check each answer against their request."""
 
 import asyncio
 from collections.abc import Mapping
@@ -12,16 +12,16 @@
 from tools.soak import fleet
 from tools.soak import leavewatch
 
-# Seconds that a caller waits; its routes give up after five.
-WAIT_S = 6.0
-# Seconds between two requests of a caller.
-PAUSE_S = 0.15
+# Timeout of a request in seconds, above the five seconds of its routes.
+REQUEST_TIMEOUT_S = 6.0
+# Mean seconds between two requests of a caller.
+REQUEST_INTERVAL_S = 0.15
 
 PATHS = {"stream": "/s/x", "once": "/once/x", "again": "/again/x"}
 
 
 class SoakCaller:
-    """Sends requests of all kinds to instances at random."""
+    """Sends requests of random kinds to random instances."""
 
     def __init__(
         self,
@@ -38,17 +38,19 @@
         self._rng = rng
         self._count = 0
 
-    async def live(self, stop: asyncio.Event) -> None:
-        """Sends until it is told to stop; connections are kept."""
+    async def run(self, stop: asyncio.Event) -> None:
+        """Sends requests until `stop` is set; connections are reused."""
         async with aiohttp.ClientSession() as session:
             while not stop.is_set():
-                await self._ask(session)
-                await asyncio.sleep(PAUSE_S * (0.5 + self._rng.random()))
+                await self._send_request(session)
+                await asyncio.sleep(
+                    REQUEST_INTERVAL_S * (0.5 + self._rng.random())
+                )
 
-    async def _ask(self, session: aiohttp.ClientSession) -> None:
+    async def _send_request(self, session: aiohttp.ClientSession) -> None:
         self._count += 1
         kind = self._rng.choice(list(PATHS))
-        sent = evidences.Sent(
+        sent = evidences.SentRequest(
             f"{self._name}-{self._count}",
             kind,
             self._rng.choice(self._keys),
@@ -62,33 +64,37 @@
                 f"http://{instance.ip}:{instance.front}{PATHS[kind]}",
                 headers=make_headers(sent, self._rng),
                 data=b"body",
-                timeout=aiohttp.ClientTimeout(total=WAIT_S),
+                timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S),
             ) as answer:
-                note_words(self._evidence, answer.headers, sent.process_id)
+                note_endpoint_headers(
+                    self._evidence, answer.headers, sent.process_id
+                )
                 body = await answer.read()
                 sent.status = answer.status
-                sent.whole = is_own(sent, answer.headers, body)
+                sent.is_complete = is_valid_answer(sent, answer.headers, body)
         except TimeoutError:
             sent.status = 0
-            sent.overdue = True
+            sent.has_timed_out = True
         except (aiohttp.ClientError, OSError):
-            # No answer, or one that broke off and did not look whole.
+            # No answer, or one that was cut and recognizably incomplete.
             sent.status = 0
         self._evidence.note_answer(sent, instance.process_id)
 
     def _choose_instances(self) -> list[fleet.SoakInstance]:
-        """Returns the instances that a balancer would choose from."""
+        """Returns the instances that a load balancer would choose from."""
         ready = [i for i in self._instances if not i.is_leaving]
         return ready or self._instances
 
 
-def make_headers(sent: evidences.Sent, rng: random.Random) -> dict[str, str]:
-    """Returns the fields of a request."""
+def make_headers(
+    sent: evidences.SentRequest, rng: random.Random
+) -> dict[str, str]:
+    """Returns the headers of a request."""
     headers = {
         "Host": "soak.example",
         names.ATTEMPT_ID: sent.request_id,
         names.CREDENTIAL: sent.key,
-        names.REMAINING: str(round(WAIT_S * 1e3)),
+        names.REMAINING: str(round(REQUEST_TIMEOUT_S * 1e3)),
     }
     if sent.kind == "stream":
         tokens = rng.choice((2_000, 40_000, 700_000))
@@ -96,23 +102,23 @@
     return headers
 
 
-def note_words(
+def note_endpoint_headers(
     evidence: evidences.Evidence, headers: Mapping[str, str], process_id: int
 ) -> None:
-    """Takes in what an endpoint said about itself in an answer."""
+    """Records what an endpoint announced about itself in an answer."""
     if names.LIMIT in headers:
-        evidence.note_told(headers.get(names.SEAL, ""), process_id)
+        evidence.note_limit_forwarded(headers.get(names.SEAL, ""), process_id)
     leavewatch.note_answer(evidence, headers, process_id)
 
 
-def is_own(
-    sent: evidences.Sent, headers: Mapping[str, str], body: bytes
+def is_valid_answer(
+    sent: evidences.SentRequest, headers: Mapping[str, str], body: bytes
 ) -> bool:
-    """Whether an answer is whole and belongs to a request.
+    """Whether an answer is complete and belongs to a request.
 
     Args:
       sent: the request.
-      headers: fields of the answer; names match in any case.
+      headers: headers of the answer; names match in any case.
       body: its body.
     """
     if headers.get(names.ATTEMPT_ID) != sent.request_id:
--- a/tools/soak/configuration.py
+++ b/tools/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of the soak: a stream and two kinds of calls."""
+"""The configuration of the soak: one streaming and two call routes."""
 
 ENGINE = {
     "slots": 8,
@@ -10,8 +10,8 @@
 }
 
 
-def make(version: int, keys: list[str]) -> dict[str, object]:
-    """Returns what the operator writes."""
+def make_configuration(version: int, keys: list[str]) -> dict[str, object]:
+    """Returns the configuration object that the operator writes."""
 
     def route(name: str, kind: str, service: str) -> dict[str, object]:
         return {
--- a/tools/soak/engines.py
+++ b/tools/soak/engines.py
@@ -1,4 +1,4 @@
-"""Endpoints that stream events or answer calls, crash, hang and refuse."""
+"""Endpoints that stream events or answer calls, with injected faults."""
 
 import asyncio
 import contextlib
@@ -9,38 +9,41 @@
 from aiohttp import web
 
 from rhubarblock.platform import names
+from tools.soak import cooldownwatch
 from tools.soak import evidence as evidences
 from tools.soak import leavewatch
 from tools.soak import proxy as proxies
 from tools.soak import ratewatch
-from tools.soak import restwatch
 from tools.soak import store as stores
 
 # Seconds between two events of a stream.
-EVENT_S = 0.02
+EVENT_INTERVAL_S = 0.02
 # Events of a stream.
 EVENTS = 30
-# Seconds of a call.
-CALL_S = 0.03
-# Seconds between a notice and the end of a leaving endpoint.
+# Seconds that a call takes.
+CALL_DURATION_S = 0.03
+# Seconds between the moment at which a leaving endpoint is listed as draining
+# and its end.
 DRAIN_S = 2.5
-# Longest time in seconds between the first answer of an endpoint that says that
-# it leaves and its entry, and seconds between two tries to write the entry.
-SAY_S = 2.0
-LIST_S = 0.1
-# Share of the starts after a crash that get a new id; the others keep theirs.
+# Longest time in seconds from the moment at which an endpoint announces in its
+# answers that it leaves until it writes its entry.
+MAX_LISTING_DELAY_S = 2.0
+# Seconds between two checks of whether the store accepts writes.
+LISTING_RETRY_S = 0.1
+# Share of the restarts after a crash that get a new id; the others keep theirs.
 NEW_ID_SHARE = 0.5
 
 
 class SoakEndpoint:
-    """One endpoint over all its starts, each behind a way that may break.
+    """One endpoint, restarted again and again behind a proxy that can break.
 
     Attributes:
       service: the service that it belongs to.
-      mode: how it behaves; empty is sound.
-      rest_s: the rest in seconds that it asks for in the mode ``rest``.
-      way: the proxy that instances reach it by.
-      rate: the limit that it names, and what arrives.
+      mode: injected fault or kind of end; empty is healthy operation.
+      retry_after_s: the cool-down in seconds that it asks for in the mode
+        ``rest``.
+      proxy: the proxy through which instances reach it.
+      rate: its announced rate limit, checked against the requests that arrive.
     """
 
     def __init__(
@@ -54,77 +57,83 @@
     ):
         self.service = service
         self.mode = ""
-        self.rest_s = 0.0
-        self.way = proxies.SoakProxy()
+        self.retry_after_s = 0.0
+        self.proxy = proxies.SoakProxy()
         self.id = ""
         self.rate = ratewatch.RateWatch("", evidence)
-        self._rest = restwatch.RestWatch("", evidence)
+        self._cooldowns = cooldownwatch.CooldownWatch("", evidence)
         self._data_centre = data_centre
         self._store = store
         self._evidence = evidence
         self._revoke_s = revoke_s
         self._rng = rng
         self._leases: dict[str, float] = {}
-        self._born_ms = 0
-        # What its entry says; empty while it has none.
+        self._started_ms = 0
+        # The state in its entry; empty while it has none.
         self._state = ""
-        # Whether the last start said that it leaves: its id is not used again.
-        self._has_left = True
+        # Whether the last run announced that it leaves; its id is then never
+        # used again. True at first, so that the first run gets an id.
+        self._announced_leaving = True
 
-    async def live(self, stop: asyncio.Event) -> None:
-        """Starts again and again until it is told to stop."""
+    async def run(self, stop: asyncio.Event) -> None:
+        """Starts again and again until `stop` is set."""
         while not stop.is_set():
-            if self._rng.random() < NEW_ID_SHARE or self._has_left:
+            if self._rng.random() < NEW_ID_SHARE or self._announced_leaving:
                 self.id = f"i-{self._rng.getrandbits(32):08x}"
-            self._has_left = False
-            self._born_ms = round(time.time() * 1e3)
+            self._announced_leaving = False
+            self._started_ms = round(time.time() * 1e3)
             self.rate = ratewatch.RateWatch(self.id, self._evidence)
-            self._rest = restwatch.RestWatch(self.id, self._evidence)
+            self._cooldowns = cooldownwatch.CooldownWatch(
+                self.id, self._evidence
+            )
             self._ended = asyncio.Event()
             async with (
                 stores.serve(self._handle) as (_, target),
-                self.way.open() as port,
+                self.proxy.open() as port,
             ):
-                self.way.target = target
+                self.proxy.target = target
                 self._port = port
-                self._list("ready")
+                self._write_entry("ready")
                 await _wait_any(self._ended, stop)
                 if self.mode == "drain":
-                    await self._leave()
+                    await self._drain()
                 self._state = ""
                 self._store.remove(f"servers/{self.id}")
             self.mode = ""
             await asyncio.sleep(0.5)
 
-    async def rest(self, rest_s: float, length_s: float) -> None:
-        """Turns all requests away for a time, and asks for rest each time."""
-        self.rest_s = rest_s
+    async def refuse_all(self, retry_after_s: float, length_s: float) -> None:
+        """Refuses all requests for a time, each with a Retry-After."""
+        self.retry_after_s = retry_after_s
         self.mode = "rest"
         await asyncio.sleep(length_s)
         if self.mode == "rest":
             self.mode = ""
 
     def end(self, mode: str) -> None:
-        """Ends this start, by a crash or after a drain."""
+        """Ends the present run, by a crash or after a drain."""
         self.mode = mode
         self._ended.set()
 
-    async def _leave(self) -> None:
-        """Says that it leaves, in its answers first, and serves a while."""
-        self._has_left = True
-        await asyncio.sleep(self._rng.uniform(0.0, SAY_S))
-        while self._store.refuses or self._store.refuses_writes:
-            await asyncio.sleep(LIST_S)
-        self._list("draining")
-        self._evidence.left_s[self.id] = evidences.read_clock()
+    async def _drain(self) -> None:
+        """Announces that it leaves, and serves on for a while.
+
+        Its answers say so first, its entry later.
+        """
+        self._announced_leaving = True
+        await asyncio.sleep(self._rng.uniform(0.0, MAX_LISTING_DELAY_S))
+        while self._store.is_down or self._store.is_read_only:
+            await asyncio.sleep(LISTING_RETRY_S)
+        self._write_entry("draining")
+        self._evidence.drain_listed_s[self.id] = evidences.read_clock()
         await asyncio.sleep(DRAIN_S)
 
-    def list_again(self) -> None:
-        """Writes the entry anew where this start has one."""
+    def rewrite_entry(self) -> None:
+        """Writes the entry again if the present run has one."""
         if self._state:
-            self._list(self._state)
+            self._write_entry(self._state)
 
-    def _list(self, state: str) -> None:
+    def _write_entry(self, state: str) -> None:
         self._state = state
         self._store.put(
             f"servers/{self.id}",
@@ -135,39 +144,39 @@
                 "slots": 8,
                 "state": state,
                 "sequence": 1,
-                "born": self._born_ms,
+                "born": self._started_ms,
             },
         )
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path == "/order":
-            return self._order(json.loads(await request.text()))
+            return self._handle_order(json.loads(await request.text()))
         request_id = request.headers.get(names.ATTEMPT_ID, "")
         answer = {names.ATTEMPT_ID: request_id}
         if request.headers.get(names.TARGET) != self.id:
             return web.Response(status=421, headers=answer)
-        self.rate.note_arrival(request_id, self.way.healed_s)
-        self._rest.note_arrival(request_id, self.way)
+        self.rate.note_arrival(request_id, self.proxy.healed_s)
+        self._cooldowns.note_arrival(request_id, self.proxy)
         leavewatch.check_arrival(self._evidence, request_id, self.id)
-        if self._has_left:
+        if self._announced_leaving:
             answer[names.LEAVING] = "1"
         if self.rate.per_s is not None:
             answer[names.LIMIT] = f"{self.rate.per_s:g}"
         if self.mode == "rest":
-            self._rest.ask(request_id, self.rest_s)
-            answer[names.RETRY_AFTER] = f"{self.rest_s:g}"
+            self._cooldowns.note_requested(request_id, self.retry_after_s)
+            answer[names.RETRY_AFTER] = f"{self.retry_after_s:g}"
         if self.mode in ("shed", "rest"):
             answer[names.NOT_EXECUTED] = "1"
             return web.Response(status=503, headers=answer)
         await request.read()
         self._evidence.note_run(request_id, self.id)
         self._evidence.check_revoked(request_id, self._revoke_s)
-        answer[names.SEAL] = self.rate.mark
+        answer[names.SEAL] = self.rate.announcement_id
         if request.path.startswith("/s/"):
             return await self._stream(request, answer, request_id)
-        await asyncio.sleep(CALL_S)
+        await asyncio.sleep(CALL_DURATION_S)
         if self.mode == "lose" and self._rng.random() < 0.5:
-            self._reset(request)
+            self._reset_connection(request)
             return web.Response()
         return web.Response(text=f"answer to {request_id}", headers=answer)
 
@@ -183,32 +192,32 @@
                 await asyncio.sleep(3.0)
             if self.mode == "lose" and self._rng.random() < 0.05:
                 await response.write(b"id: ")
-                self._reset(request)
+                self._reset_connection(request)
                 return response
             await response.write(
                 f"id: {number}\ndata: {request_id} {number}\n\n".encode()
             )
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         await response.write_eof()
         return response
 
-    def _order(self, order: dict[str, object]) -> web.Response:
+    def _handle_order(self, order: dict[str, object]) -> web.Response:
         now_s = evidences.read_clock()
         if order["operation"] == "reserve":
-            hold_s = float(str(order["holdMs"])) / 1e3
-            self._leases[str(order["id"])] = now_s + hold_s
+            lease_s = float(str(order["holdMs"])) / 1e3
+            self._leases[str(order["id"])] = now_s + lease_s
         else:
             self._leases.pop(str(order["id"]), None)
-        headers = {names.LEAVING: "1"} if self._has_left else {}
+        headers = {names.LEAVING: "1"} if self._announced_leaving else {}
         return web.Response(text="{}", headers=headers)
 
     def count_leases(self) -> int:
-        """Returns how many memory leases have neither ended nor lapsed."""
+        """Returns how many memory leases were neither released nor expired."""
         now_s = evidences.read_clock()
         return sum(1 for until_s in self._leases.values() if until_s > now_s)
 
     @staticmethod
-    def _reset(request: web.BaseRequest) -> None:
+    def _reset_connection(request: web.BaseRequest) -> None:
         if request.transport is not None:
             request.transport.abort()
 
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs, as processes that are started and ended by their ids."""
+"""The entry instances: processes of the real program."""
 
 import asyncio
 import contextlib
@@ -11,9 +11,9 @@
 from rhubarblock.platform import names
 from tools.soak import evidence as evidences
 
-# Seconds for which new connections still come to an instance that was told to
-# stop: a balancer that asks once a second needs two refusals to see it.
-SEEN_S = 2.0
+# Seconds after the stop signal in which an instance still gets new connections:
+# a load balancer that probes once a second needs two failed probes.
+BALANCER_DELAY_S = 2.0
 
 SETTINGS = """\
 nodeName = "{name}"
@@ -40,12 +40,13 @@
 
 
 class SoakInstance:
-    """One instance: a process that comes back when it ends.
+    """One instance: a process that is started again whenever it ends.
 
     Attributes:
       front: port for callers.
       process: the present process.
-      stopped_s: when it was told to stop as planned; None once it is back.
+      stop_signalled_s: when it got the signal of a planned stop; None once it
+        is back.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
         revoke_s: float,
         folder: pathlib.Path,
     ):
-        # Each instance has an address of its own, as metrics have one port;
-        # seeds that are played at once have networks of their own.
+        # Each instance has its own address because the metrics port is fixed;
+        # seeds that run concurrently use different networks.
         self.ip = f"127.{network}.7.{number + 1}"
         self.front, ready, peers = (_find_port(self.ip) for _ in range(3))
         self.process: asyncio.subprocess.Process | None = None
-        self.stopped_s: float | None = None
+        self.stop_signalled_s: float | None = None
         self._path = folder / f"{number}.toml"
         self._log = folder / f"{number}.log"
         self._path.write_text(
@@ -80,8 +81,8 @@
         )
         self.ready_url = f"http://{self.ip}:{ready}/"
 
-    async def live(self, stop: asyncio.Event) -> None:
-        """Runs the program again and again until it is told to stop."""
+    async def run(self, stop: asyncio.Event) -> None:
+        """Runs the program again and again until `stop` is set."""
         env = {**os.environ, names.SETTINGS_VARIABLE: str(self._path)}
         with self._log.open("ab") as log:
             while not stop.is_set():
@@ -96,27 +97,27 @@
                 try:
                     await self.process.wait()
                 finally:
-                    # Nothing is left behind when the soak itself is ended.
+                    # Leaves no process behind if the soak itself is cancelled.
                     self.send(signal.SIGKILL)
                 await asyncio.sleep(0.2)
 
     @property
     def process_id(self) -> int:
-        """Id of the present process; 0 where none runs."""
+        """Id of the present process; 0 if none runs."""
         if self.process is None or self.process.returncode is not None:
             return 0
         return self.process.pid
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a balancer saw that it is about to stop."""
-        if self.stopped_s is None:
+        """Whether a load balancer has noticed that it is stopping."""
+        if self.stop_signalled_s is None:
             return False
-        return evidences.read_clock() > self.stopped_s + SEEN_S
+        return evidences.read_clock() > self.stop_signalled_s + BALANCER_DELAY_S
 
-    def stop_as_planned(self) -> None:
-        """Tells the present process to stop."""
-        self.stopped_s = evidences.read_clock()
+    def stop_gracefully(self) -> None:
+        """Sends the present process the signal of a planned stop."""
+        self.stop_signalled_s = evidences.read_clock()
         self.send(signal.SIGTERM)
 
     def send(self, number: signal.Signals) -> None:
--- a/tools/soak/leavewatch.py
+++ b/tools/soak/leavewatch.py
@@ -1,4 +1,4 @@
-"""Endpoints of the soak that say in their answers that they leave."""
+"""Checks that instances send nothing new to endpoints that leave."""
 
 from collections.abc import Mapping
 
@@ -9,28 +9,37 @@
 def note_answer(
     evidence: evidences.Evidence, headers: Mapping[str, str], process_id: int
 ) -> None:
-    """Takes in whether a process passed on that an endpoint leaves."""
+    """Records whether a process forwarded that an endpoint leaves."""
     if names.LEAVING not in headers:
         return
-    # The signature is the mark of a rate watch, which begins with the id.
+    # The signature is the announcement id of a RateWatch, which begins with
+    # the id of the endpoint.
     endpoint_id = headers.get(names.SEAL, "").partition(".")[0]
-    told = (endpoint_id, process_id)
-    evidence.leaving_s.setdefault(told, evidences.read_clock())
+    key = (endpoint_id, process_id)
+    evidence.leaving_forwarded_s.setdefault(key, evidences.read_clock())
 
 
 def check_arrival(
     evidence: evidences.Evidence, request_id: str, endpoint_id: str
 ) -> None:
-    """Checks that a process sends nothing new to an endpoint that leaves."""
+    """Checks that a process sends nothing new to an endpoint that leaves.
+
+    The check begins once the process has forwarded the announcement to a
+    caller, and so must know it.
+    """
     sent = evidence.sent.get(request_id)
     if sent is None:
         return
-    told_s = evidence.leaving_s.get((endpoint_id, sent.process_id))
-    if told_s is None or evidence.was_disturbed(sent.process_id, told_s):
+    forwarded_s = evidence.leaving_forwarded_s.get(
+        (endpoint_id, sent.process_id)
+    )
+    if forwarded_s is None or evidence.was_disturbed(
+        sent.process_id, forwarded_s
+    ):
         return
-    late_s = sent.at_s - told_s
-    if late_s > evidences.DRAIN_S:
-        evidence.faults.append(
+    late_s = sent.at_s - forwarded_s
+    if late_s > evidences.DRAIN_NOTICE_S:
+        evidence.violations.append(
             f"{request_id} reached {endpoint_id} and was sent {late_s:.2f} s "
             f"after process {sent.process_id} passed on that it leaves"
         )
--- a/tools/soak/plannedstops.py
+++ b/tools/soak/plannedstops.py
@@ -1,4 +1,4 @@
-"""Planned stops of instances in a series that overlaps."""
+"""Overlapping planned stops of several instances."""
 
 import asyncio
 import random
@@ -6,9 +6,9 @@
 from tools.soak import evidence as evidences
 from tools.soak import fleet
 
-# Seconds between two signals of a series, and the fewest stops of one.
-GAP_S = 0.3
-FEWEST = 2
+# Seconds between two stop signals, and the least number of stops.
+SIGNAL_GAP_S = 0.3
+MIN_STOPS = 2
 
 
 async def stop_some(
@@ -16,15 +16,15 @@
     evidence: evidences.Evidence,
     rng: random.Random,
 ) -> None:
-    """Tells instances to stop, one soon after another; at least one stays.
+    """Stops instances in quick succession; at least one keeps running.
 
     Args:
       instances: all instances.
-      evidence: takes in which process was told when.
-      rng: chooses how many stop, and which.
+      evidence: records when each process got its signal.
+      rng: chooses how many instances stop, and which.
     """
-    count = rng.randint(FEWEST, len(instances) - 1)
+    count = rng.randint(MIN_STOPS, len(instances) - 1)
     for instance in rng.sample(instances, count):
-        evidence.stopped_s[instance.process_id] = evidences.read_clock()
-        instance.stop_as_planned()
-        await asyncio.sleep(GAP_S)
+        evidence.stop_signalled_s[instance.process_id] = evidences.read_clock()
+        instance.stop_gracefully()
+        await asyncio.sleep(SIGNAL_GAP_S)
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -1,27 +1,28 @@
-"""A loopback proxy before the store or an endpoint that a test can break."""
+"""A loopback proxy before the store or an endpoint, with injected faults."""
 
 import asyncio
 import contextlib
 
 from tools.soak import evidence as evidences
 
-# Bytes that are passed on at once.
-_PIECE = 1 << 16
-# Seconds by which each piece is late on a slow way.
-_LATE_S = 0.15
+# Most bytes that are forwarded at once.
+_CHUNK_BYTES = 1 << 16
+# Seconds by which each chunk is delayed in the mode ``slow``.
+_SLOW_DELAY_S = 0.15
 
 MODES = ("silent", "reset", "deaf", "mute", "slow")
 
 
 class SoakProxy:
-    """Passes connections on.
+    """Forwards connections to a port on loopback.
 
     Attributes:
-      mode: empty passes on; ``silent`` keeps everything; ``reset`` breaks each
-        connection; ``deaf`` keeps what comes back, so that calls are done and
-        not answered; ``mute`` keeps what goes there; ``slow`` is late.
-      healed_s: when it passed on again after it was broken.
-      target: port that connections are passed on to.
+      mode: empty forwards everything; ``silent`` holds back both directions;
+        ``reset`` closes a connection at its next data; ``deaf`` holds back
+        responses, so that calls run but get no answer; ``mute`` holds back
+        requests; ``slow`` delays both directions.
+      healed_s: when it last resumed forwarding after a fault.
+      target: port that connections are forwarded to.
     """
 
     def __init__(self, target: int = 0):
@@ -30,61 +31,61 @@
         self.target = target
 
     def heal(self) -> None:
-        """Passes on again."""
+        """Ends a fault."""
         if self.mode:
             self.mode = ""
             self.healed_s = evidences.read_clock()
 
     def was_broken_since(self, since_s: float) -> bool:
-        """Whether it was broken at some time since another."""
+        """Whether it had a fault at any time since a given one."""
         return bool(self.mode) or self.healed_s >= since_s
 
     @contextlib.asynccontextmanager
     async def open(self):  # type: ignore[no-untyped-def]
         """Listens while the context is open; yields its port."""
-        server = await asyncio.start_server(self._pass, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         try:
             yield server.sockets[0].getsockname()[1]
         finally:
             server.close()
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far = await asyncio.open_connection("127.0.0.1", self.target)
+            upstream = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.close()
             return
-        ways = [
-            asyncio.ensure_future(self._copy(reader, far[1], False)),
-            asyncio.ensure_future(self._copy(far[0], writer, True)),
+        directions = [
+            asyncio.ensure_future(self._copy(reader, upstream[1], False)),
+            asyncio.ensure_future(self._copy(upstream[0], writer, True)),
         ]
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-        for way in ways:
-            way.cancel()
-        await asyncio.gather(*ways, return_exceptions=True)
-        for end in (writer, far[1]):
-            end.close()
+        await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+        for direction in directions:
+            direction.cancel()
+        await asyncio.gather(*directions, return_exceptions=True)
+        for stream in (writer, upstream[1]):
+            stream.close()
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        is_back: bool,
+        is_response: bool,
     ) -> None:
-        while data := await reader.read(_PIECE):
+        while data := await reader.read(_CHUNK_BYTES):
             if self.mode == "reset":
                 return
             if self.mode == "slow":
-                await asyncio.sleep(_LATE_S)
-            while self._is_kept(is_back):
+                await asyncio.sleep(_SLOW_DELAY_S)
+            while self._is_held_back(is_response):
                 await asyncio.sleep(0.05)
             writer.write(data)
             await writer.drain()
 
-    def _is_kept(self, is_back: bool) -> bool:
-        """Whether bytes of one way stay here at present."""
+    def _is_held_back(self, is_response: bool) -> bool:
+        """Whether the data of one direction is held back at present."""
         if self.mode == "silent":
             return True
-        return self.mode == ("deaf" if is_back else "mute")
+        return self.mode == ("deaf" if is_response else "mute")
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak: ``python -m tools.soak.run --seeds 1..50``."""
+"""Runs seeds of the soak: ``python -m tools.soak.run --seeds 1..50``."""
 
 import asyncio
 import contextlib
@@ -14,48 +14,48 @@
 
 from tools.soak import callers
 from tools.soak import configuration
-from tools.soak import drill
 from tools.soak import engines
 from tools.soak import evidence as evidences
 from tools.soak import fleet
-from tools.soak import keptcallers
+from tools.soak import keepalivecallers
 from tools.soak import plannedstops
 from tools.soak import proxy as proxies
+from tools.soak import restore
 from tools.soak import store as stores
 
+# Seconds within which a revoked key must be refused everywhere.
 REVOKE_S = 3.0
-# Limits that endpoints name, in requests a second, and the share of the times
-# that all of a service name one.
+# Rate limits that endpoints announce, in requests a second, and the share of
+# the announcements that all endpoints of a service make together.
 LIMITS_PER_S = (0.0, 0.2, 0.5, 1.0, 2.5)
-ALL_SHARE = 0.3
-# Rests that endpoints ask for, and the shortest and the longest time for which
-# they turn requests away, in seconds.
-RESTS_S = (1.0, 1.75, 2.5, 3.0, 4.0)
-REST_LENGTHS_S = (2.0, 8.0)
-# Share of the endpoints that leave unseen whose instances can't read the store
-# either.
-UNREAD_SHARE = 0.3
+WHOLE_SERVICE_SHARE = 0.3
+# Cool-downs that endpoints ask for, and the shortest and the longest time for
+# which they refuse requests, in seconds.
+COOLDOWNS_S = (1.0, 1.75, 2.5, 3.0, 4.0)
+REFUSAL_LENGTHS_S = (2.0, 8.0)
+# Share of the unlisted drains in which the store refuses reads, too.
+STORE_OUTAGE_SHARE = 0.3
 SERVICES = ("pool", "desk")
 DATA_CENTRES = ("osu", "tema")
 INSTANCES = 4
 CALLERS = 10
-# Connections to each instance that are kept in planned work.
-KEPT = 12
-ENGINES = 6
-DESKS = 3
-# Seconds for which all may come up.
-START_S = 60.0
-# Seconds after the last fault in which all must have settled; in the planned
-# work that follows nothing may be lost.
+# Keep-alive connections to each instance during planned work.
+KEEP_ALIVE_CALLERS = 12
+POOL_ENDPOINTS = 6
+DESK_ENDPOINTS = 3
+# Seconds in which all instances must become ready.
+STARTUP_TIMEOUT_S = 60.0
+# Seconds after the last fault in which everything must recover; planned work
+# follows, in which no request may be lost.
 SETTLE_S = 6.0
-# Seconds after planned work in which requests under way end.
-LAST_S = 2.0
-# Seconds of quiet at the end, in which memory must come free.
-QUIET_S = 5.0
+# Seconds after planned work in which requests in flight end.
+FINISH_S = 2.0
+# Seconds without requests at the end, in which memory leases must be released.
+RELEASE_S = 5.0
 
 
 class Soak:
-    """One seed."""
+    """One run of the soak, determined by its seed."""
 
     def __init__(self, seed: int, folder: pathlib.Path):
         self.rng = random.Random(seed)
@@ -66,10 +66,10 @@
         self.keys = [f"key-{n}" for n in range(6)]
         self.version = 1
         self.stop = asyncio.Event()
-        self._is_drilling = False
+        self._is_restoring = False
 
-    async def play(self, length_s: float) -> evidences.Evidence:
-        """Plays for some seconds and returns what was seen."""
+    async def run(self, length_s: float) -> evidences.Evidence:
+        """Injects faults for some seconds and returns what was observed."""
         async with contextlib.AsyncExitStack() as stack:
             group = await stack.enter_async_context(asyncio.TaskGroup())
             _, store_port = await stack.enter_async_context(
@@ -86,18 +86,18 @@
             self._heal()
             await self._wait_ready()
             await asyncio.sleep(SETTLE_S)
-            self.evidence.calm_s = evidences.read_clock()
-            await self._work_as_planned()
-            self.evidence.calm_s = None
-            for task in self.calling:
+            self.evidence.calm_since_s = evidences.read_clock()
+            await self._run_planned_work()
+            self.evidence.calm_since_s = None
+            for task in self.caller_tasks:
                 task.cancel()
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(RELEASE_S)
             self._check_memory()
             watching.cancel()
             self.stop.set()
             for instance in self.instances:
                 instance.send(signal.SIGKILL)
-        self.evidence.close()
+        self.evidence.check_outcomes()
         return self.evidence
 
     def _write_configuration(self) -> None:
@@ -106,7 +106,8 @@
 
     def _put_configuration(self) -> None:
         self.store.put(
-            "config/main", configuration.make(self.version, self.keys)
+            "config/main",
+            configuration.make_configuration(self.version, self.keys),
         )
 
     async def _start(
@@ -117,14 +118,14 @@
     ) -> None:
         self.endpoints = [
             engines.SoakEndpoint(
-                "pool" if n < ENGINES else "desk",
+                "pool" if n < POOL_ENDPOINTS else "desk",
                 DATA_CENTRES[n % len(DATA_CENTRES)],
                 self.store,
                 self.evidence,
                 REVOKE_S,
                 random.Random(self.rng.random()),
             )
-            for n in range(ENGINES + DESKS)
+            for n in range(POOL_ENDPOINTS + DESK_ENDPOINTS)
         ]
         self.proxies = []
         self.instances = []
@@ -143,11 +144,11 @@
                 )
             )
         for part in (*self.endpoints, *self.instances):
-            group.create_task(part.live(self.stop))
+            group.create_task(part.run(self.stop))
 
     async def _wait_ready(self) -> None:
         async with (
-            asyncio.timeout(START_S),
+            asyncio.timeout(STARTUP_TIMEOUT_S),
             aiohttp.ClientSession() as session,
         ):
             for instance in self.instances:
@@ -170,40 +171,44 @@
             for n in range(CALLERS)
         ]
         loop = asyncio.get_running_loop()
-        self.calling = [
-            loop.create_task(caller.live(self.stop)) for caller in self.callers
+        self.caller_tasks = [
+            loop.create_task(caller.run(self.stop)) for caller in self.callers
         ]
 
-    def _start_kept_callers(self) -> None:
+    def _start_keep_alive_callers(self) -> None:
         loop = asyncio.get_running_loop()
         for instance in self.instances:
-            for number in range(KEPT):
-                caller = keptcallers.KeptCaller(
+            for number in range(KEEP_ALIVE_CALLERS):
+                caller = keepalivecallers.KeepAliveCaller(
                     f"k{instance.front}-{number}",
                     instance,
                     self.keys[:],
                     self.evidence,
                     random.Random(self.rng.random()),
                 )
-                self.calling.append(loop.create_task(caller.live()))
+                self.caller_tasks.append(loop.create_task(caller.run()))
 
     async def _inject_faults(self) -> None:
         faults = (
             self._kill,
             self._freeze,
             self._terminate,
-            self._break_way,
+            self._break_proxy,
             self._break_store,
-            self._drill,
+            self._restore_store,
             self._break_endpoint,
             self._end_endpoint,
             self._revoke,
-            self._name_limit,
-            self._leave_unseen,
-            self._ask_for_rest,
+            self._announce_limits,
+            self._drain_unlisted,
+            self._refuse_with_cooldown,
         )
-        # These come in each seed, the others by chance.
-        due = [self._leave_unseen, self._ask_for_rest, self._drill]
+        # Every run has these faults; the others are drawn.
+        due = [
+            self._drain_unlisted,
+            self._refuse_with_cooldown,
+            self._restore_store,
+        ]
         running: set[asyncio.Task[None]] = set()
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 1.2))
@@ -228,32 +233,32 @@
         instance = self.rng.choice(self.instances)
         instance.send(self.rng.choice([signal.SIGTERM, signal.SIGHUP]))
 
-    async def _break_way(self) -> None:
-        """Breaks the way from one instance to the store or to an endpoint."""
-        ways = [*self.proxies, *(e.way for e in self.endpoints)]
-        way = self.rng.choice(ways)
-        way.mode = self.rng.choice(proxies.MODES)
+    async def _break_proxy(self) -> None:
+        """Breaks the proxy of one instance's store, or of an endpoint."""
+        all_proxies = [*self.proxies, *(e.proxy for e in self.endpoints)]
+        proxy = self.rng.choice(all_proxies)
+        proxy.mode = self.rng.choice(proxies.MODES)
         await asyncio.sleep(self.rng.uniform(0.5, REVOKE_S + 2.0))
-        way.heal()
+        proxy.heal()
 
     async def _break_store(self) -> None:
-        step = self.rng.choice(["refuses", "slow", "forgets"])
-        if step == "forgets":
-            self.store.forget_history()
+        store_fault = self.rng.choice(["refuses", "slow", "forgets"])
+        if store_fault == "forgets":
+            self.store.discard_events()
             return
-        self.store.refuses = step == "refuses"
-        self.store.delay_s = 0.3 if step == "slow" else 0.0
+        self.store.is_down = store_fault == "refuses"
+        self.store.delay_s = 0.3 if store_fault == "slow" else 0.0
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
-        self.store.refuses = False
+        self.store.is_down = False
         self.store.delay_s = 0.0
 
-    async def _drill(self) -> None:
-        """Lets the store come back older, unless it is away already."""
-        if self.store.refuses or self._is_drilling:
+    async def _restore_store(self) -> None:
+        """Restores an older state of the store, unless it is down already."""
+        if self.store.is_down or self._is_restoring:
             return
-        self._is_drilling = True
+        self._is_restoring = True
         try:
-            await drill.play(
+            await restore.run(
                 self.store,
                 self.endpoints,
                 self.evidence,
@@ -261,7 +266,7 @@
                 self.rng,
             )
         finally:
-            self._is_drilling = False
+            self._is_restoring = False
 
     def _list_endpoints(self, service: str) -> list[engines.SoakEndpoint]:
         return [e for e in self.endpoints if e.service == service]
@@ -277,96 +282,105 @@
         endpoint = self.rng.choice(self.endpoints)
         endpoint.end(self.rng.choice(["crash", "drain"]))
 
-    async def _leave_unseen(self) -> None:
-        """Lets endpoints leave while the store refuses to list that they do.
+    async def _drain_unlisted(self) -> None:
+        """Drains endpoints while the store does not accept their entries.
 
-        Instances would serve nothing if they could not read for longer.
+        Reads fail for at most `REVOKE_S`: instances that could not read for
+        longer would serve nothing.
         """
         for service in SERVICES:
             self.rng.choice(self._list_endpoints(service)).end("drain")
-        if self.rng.random() < UNREAD_SHARE:
-            self.store.refuses = True
+        if self.rng.random() < STORE_OUTAGE_SHARE:
+            self.store.is_down = True
             await asyncio.sleep(self.rng.uniform(2.5, REVOKE_S))
-            self.store.refuses = False
+            self.store.is_down = False
         else:
-            self.store.refuses_writes = True
+            self.store.is_read_only = True
             await asyncio.sleep(self.rng.uniform(3.0, 5.0))
-            self.store.refuses_writes = False
+            self.store.is_read_only = False
 
-    async def _ask_for_rest(self) -> None:
-        """Lets an endpoint turn all requests away and ask for rest."""
+    async def _refuse_with_cooldown(self) -> None:
+        """Lets an endpoint refuse all requests and ask for a cool-down."""
         endpoint = self.rng.choice(self.endpoints)
-        length_s = self.rng.uniform(*REST_LENGTHS_S)
-        await endpoint.rest(self.rng.choice(RESTS_S), length_s)
-
-    async def _name_limit(self) -> None:
-        """Lets an endpoint, or all of a service, name limits that change."""
-        own = self._list_endpoints(self.rng.choice(SERVICES))
-        chosen = own if self.rng.random() < ALL_SHARE else own[:1]
+        length_s = self.rng.uniform(*REFUSAL_LENGTHS_S)
+        await endpoint.refuse_all(self.rng.choice(COOLDOWNS_S), length_s)
+
+    async def _announce_limits(self) -> None:
+        """Lets one or all endpoints of a service announce rate limits."""
+        service_endpoints = self._list_endpoints(self.rng.choice(SERVICES))
+        chosen = (
+            service_endpoints
+            if self.rng.random() < WHOLE_SERVICE_SHARE
+            else service_endpoints[:1]
+        )
         for _ in range(self.rng.randint(1, 2)):
             for endpoint in chosen:
-                endpoint.rate.name(self.rng.choice(LIMITS_PER_S))
+                endpoint.rate.set_limit(self.rng.choice(LIMITS_PER_S))
             await asyncio.sleep(self.rng.uniform(4.0, 8.0))
         for endpoint in chosen:
-            endpoint.rate.name(None)
+            endpoint.rate.set_limit(None)
 
     async def _revoke(self) -> None:
-        self._revoke_one()
+        self._revoke_key()
 
-    def _revoke_one(self) -> None:
+    def _revoke_key(self) -> None:
         if len(self.keys) > 2:
             key = self.keys.pop(self.rng.randrange(len(self.keys)))
             self._write_configuration()
-            self.evidence.revoked_s[key] = evidences.read_clock()
+            self.evidence.key_revoked_s[key] = evidences.read_clock()
 
     def _heal(self) -> None:
         for proxy in self.proxies:
             proxy.heal()
-        self.store.refuses = False
-        self.store.refuses_writes = False
+        self.store.is_down = False
+        self.store.is_read_only = False
         self.store.delay_s = 0.0
         for endpoint in self.endpoints:
-            endpoint.way.heal()
+            endpoint.proxy.heal()
             if endpoint.mode != "drain":
                 endpoint.mode = ""
-            endpoint.rate.name(None)
+            endpoint.rate.set_limit(None)
         for instance in self.instances:
             instance.send(signal.SIGCONT)
 
-    async def _work_as_planned(self) -> None:
-        """Stops instances, drains endpoints and lets some rest."""
-        self._start_kept_callers()
+    async def _run_planned_work(self) -> None:
+        """Stops instances, drains endpoints and lets some refuse requests."""
+        self._start_keep_alive_callers()
         for service in SERVICES:
             await plannedstops.stop_some(
                 self.instances, self.evidence, self.rng
             )
-            own = self._list_endpoints(service)
-            leaving, resting = self.rng.sample(own, 2)
-            leaving.end("drain")
-            rest_s = self.rng.choice(RESTS_S)
-            rest = asyncio.ensure_future(resting.rest(rest_s, fleet.SEEN_S))
-            await asyncio.sleep(fleet.SEEN_S)
-            self._revoke_one()
+            service_endpoints = self._list_endpoints(service)
+            draining, refusing = self.rng.sample(service_endpoints, 2)
+            draining.end("drain")
+            retry_after_s = self.rng.choice(COOLDOWNS_S)
+            refusal = asyncio.ensure_future(
+                refusing.refuse_all(retry_after_s, fleet.BALANCER_DELAY_S)
+            )
+            await asyncio.sleep(fleet.BALANCER_DELAY_S)
+            self._revoke_key()
             await self._wait_ready()
-            await rest
+            await refusal
             for instance in self.instances:
-                instance.stopped_s = None
-        await asyncio.sleep(LAST_S)
+                instance.stop_signalled_s = None
+        await asyncio.sleep(FINISH_S)
 
     def _check_memory(self) -> None:
         held = sum(endpoint.count_leases() for endpoint in self.endpoints)
         if held:
-            self.evidence.faults.append(f"{held} memory leases were not freed")
+            self.evidence.violations.append(
+                f"{held} memory leases were not freed"
+            )
 
 
-async def play_seed(seed: int, length_s: float) -> evidences.Evidence:
-    """Plays one seed in a folder of its own."""
+async def run_seed(seed: int, length_s: float) -> evidences.Evidence:
+    """Runs one seed in a temporary folder of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return await Soak(seed, pathlib.Path(folder)).play(length_s)
+        return await Soak(seed, pathlib.Path(folder)).run(length_s)
 
 
 def parse_seeds(text: str) -> range:
-    """Reads ``first..last`` or a single seed; an empty text is none."""
+    """Parses ``first..last`` or a single seed; an empty text has none."""
     if not text:
         return range(0)
     first, _, last = text.partition("..")
@@ -374,7 +388,7 @@
 
 
 def read_seeds(path: pathlib.Path | None) -> list[int]:
-    """Reads a file with a seed at the begin of each line, then its cause."""
+    """Reads a file whose lines begin with a seed, followed by its cause."""
     if path is None:
         return []
     lines = path.read_text().splitlines()
@@ -390,22 +404,22 @@
 )
 @click.option("--seconds", default=12.0, help="length of the faults")
 def main(seeds: str, again: pathlib.Path | None, seconds: float) -> None:
-    """Plays seeds and says which broke a rule."""
-    # A signal to end is an interrupt, so that every process is ended too.
+    """Runs seeds and prints the rules that each broke."""
+    # SIGTERM acts as an interrupt, so that the soak ends all its processes.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    broken = 0
+    failed_seeds = 0
     for seed in [*read_seeds(again), *parse_seeds(seeds)]:
-        seen = asyncio.run(play_seed(seed, seconds))
+        seen = asyncio.run(run_seed(seed, seconds))
         served = seen.count(200)
         click.echo(
             f"seed {seed}: {len(seen.sent)} sent, {served} served, "
-            f"{len(seen.faults)} rules broken; the soak stood still for "
-            f"{seen.stall_s:.2f} s at most"
+            f"{len(seen.violations)} rules broken; the soak stood still for "
+            f"{seen.max_stall_s:.2f} s at most"
         )
-        for fault in seen.faults:
-            click.echo(f"  {fault}")
-        broken += bool(seen.faults)
-    sys.exit(1 if broken else 0)
+        for violation in seen.violations:
+            click.echo(f"  {violation}")
+        failed_seeds += bool(seen.violations)
+    sys.exit(1 if failed_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -1,4 +1,4 @@
-"""The platform's object API, with faults that a test turns on."""
+"""The platform's object API in memory, with injected faults."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,17 +12,17 @@
 from rhubarblock.platform import names
 from tools.soak import evidence as evidences
 
-# Seconds for which copies are kept.
-KEPT_S = 6.0
+# Seconds for which snapshots are kept.
+SNAPSHOT_RETENTION_S = 6.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Copy:
-    """What the store held at a moment.
+class Snapshot:
+    """The content of the store at one moment.
 
     Attributes:
       at_s: the moment.
-      revision: the latest one then.
+      revision: the latest revision then.
       objects: items by name.
     """
 
@@ -35,23 +35,24 @@
     """Objects in memory behind the platform's calls.
 
     Attributes:
-      revision: rises with each change.
-      era: how often it came back from an older copy of itself.
-      refuses: whether every call is answered 503.
-      refuses_writes: whether every write is, as without a majority of disks.
-      delay_s: how long each answer takes.
+      revision: increases with each change.
+      era: increases each time an older snapshot is restored.
+      is_down: whether every call is answered 503.
+      is_read_only: whether every write is answered 503, as without a quorum of
+        disks.
+      delay_s: seconds by which each answer is delayed.
     """
 
     def __init__(self) -> None:
         self.revision = 1
         self.era = 1
-        self.refuses = False
-        self.refuses_writes = False
+        self.is_down = False
+        self.is_read_only = False
         self.delay_s = 0.0
         self._objects: dict[str, dict[str, Any]] = {}
         self._events: list[tuple[int, str, bool, dict[str, Any]]] = []
         self._oldest = 0
-        self._copies: list[Copy] = []
+        self._snapshots: list[Snapshot] = []
         self._changed = asyncio.Event()
 
     def put(self, name: str, specification: Any) -> int:
@@ -65,7 +66,7 @@
             "specification": specification,
         }
         self._objects[name] = item
-        self._note(name, False, item)
+        self._record_event(name, False, item)
         return self.revision
 
     def remove(self, name: str) -> None:
@@ -73,53 +74,55 @@
         item = self._objects.pop(name, None)
         if item is not None:
             self.revision += 1
-            self._note(name, True, item)
+            self._record_event(name, True, item)
 
-    def forget_history(self) -> None:
-        """Drops all events; watches that are behind get 410."""
+    def discard_events(self) -> None:
+        """Discards all events; watches from an older revision get 410."""
         self._events.clear()
         self._oldest = self.revision
-        self._wake()
+        self._notify_watches()
 
-    def come_back(self, age_s: float) -> float:
-        """Begins an era with a copy that is some seconds old.
+    def restore_snapshot(self, age_s: float) -> float:
+        """Restores a snapshot that is some seconds old, in a new era.
 
         Returns:
-          The moment of the copy; what was written since is gone.
+          The moment of the snapshot; later writes are lost.
         """
         at_s = evidences.read_clock() - age_s
-        copy = max(
-            (c for c in self._copies if c.at_s <= at_s),
+        snapshot = max(
+            (c for c in self._snapshots if c.at_s <= at_s),
             key=lambda c: c.at_s,
-            default=self._copies[0],
+            default=self._snapshots[0],
         )
         self.era += 1
-        self.revision = copy.revision
-        self._objects = dict(copy.objects)
-        self._copies.clear()
-        self._keep_copy()
-        self.forget_history()
-        return copy.at_s
+        self.revision = snapshot.revision
+        self._objects = dict(snapshot.objects)
+        self._snapshots.clear()
+        self._take_snapshot()
+        self.discard_events()
+        return snapshot.at_s
 
     def list_names(self, kind: str) -> list[str]:
         """Returns the names of all objects of a kind."""
         return [name for name in self._objects if name.startswith(kind)]
 
-    def _keep_copy(self) -> None:
+    def _take_snapshot(self) -> None:
         now_s = evidences.read_clock()
-        copy = Copy(now_s, self.revision, dict(self._objects))
-        kept = [c for c in self._copies if c.at_s >= now_s - KEPT_S]
-        self._copies = [*kept, copy]
+        snapshot = Snapshot(now_s, self.revision, dict(self._objects))
+        kept = [
+            c for c in self._snapshots if c.at_s >= now_s - SNAPSHOT_RETENTION_S
+        ]
+        self._snapshots = [*kept, snapshot]
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one call; every answer names the era."""
+        """Handles one call; every answer carries the era."""
         response = await self._answer(request)
         response.headers[names.STORE_ERA] = str(self.era)
         return response
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         await asyncio.sleep(self.delay_s)
-        if self.refuses or (self.refuses_writes and request.method != "GET"):
+        if self.is_down or (self.is_read_only and request.method != "GET"):
             return web.Response(status=503)
         path = request.path.removeprefix("/objects/")
         if request.method == "GET" and "watch" in request.query:
@@ -173,12 +176,14 @@
         self.put(name, body.get("specification"))
         return _answer(self._objects[name])
 
-    def _note(self, name: str, removed: bool, item: dict[str, Any]) -> None:
+    def _record_event(
+        self, name: str, removed: bool, item: dict[str, Any]
+    ) -> None:
         self._events.append((self.revision, name, removed, item))
-        self._keep_copy()
-        self._wake()
+        self._take_snapshot()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -191,7 +196,7 @@
 
 @contextlib.asynccontextmanager
 async def serve(handler: Callable[..., Any]):  # type: ignore[no-untyped-def]
-    """Serves a handler on a free port; yields server and port."""
+    """Serves a handler on a free port; yields the server and the port."""
     server = web.Server(handler, handler_cancellation=True)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(server, "127.0.0.1", 0)
--- a/tools/soak/wire.py
+++ b/tools/soak/wire.py
@@ -1,7 +1,8 @@
-"""One connection of a caller, down to its bytes and the moment of its end.
+"""A minimal HTTP/1.1 client connection that exposes bytes and close time.
 
-An HTTP client tells neither whether a closed connection had answered a byte nor
-when it was closed; both decide whether a planned stop cut a request.
+A usual HTTP client reports neither whether a byte of the answer had arrived
+before the connection closed nor when it closed; both decide whether a planned
+stop cut a request.
 """
 
 import asyncio
@@ -14,12 +15,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Answer:
-    """A whole answer.
+    """A complete answer.
 
     Attributes:
-      status: its status.
-      headers: its fields; names match in any case.
-      body: its body, without the marks of chunks.
+      status: its status code.
+      headers: its headers; names match in any case.
+      body: its body, without the framing of chunks.
     """
 
     status: int
@@ -36,9 +37,9 @@
     """A connection that sends one request at a time.
 
     Attributes:
-      received: bytes of the present answer.
-      served: answers that came whole.
-      closed_s: when the far side closed it; None while it is open.
+      received: bytes of the present answer so far.
+      served: how many complete answers came.
+      closed_s: when it was closed; None while it is open.
     """
 
     def __init__(self) -> None:
@@ -62,7 +63,12 @@
         self._changed.set()
 
     async def send(self, pieces: list[bytes], pause_s: float) -> None:
-        """Sends a request, and stops where it is answered or closed."""
+        """Sends a request, but nothing after an answer or a close.
+
+        Args:
+          pieces: the bytes of the request.
+          pause_s: longest pause between two pieces in seconds.
+        """
         for number, piece in enumerate(pieces):
             if number:
                 await self._wait_change(pause_s)
@@ -71,7 +77,7 @@
             self._transport.write(piece)
 
     async def read_answer(self) -> Answer | None:
-        """Returns the next answer, or None if it never came whole."""
+        """Returns the next answer, or None if the connection closed first."""
         while True:
             answer = parse_answer(self.received)
             if answer is not None:
@@ -86,11 +92,11 @@
         """Closes the connection at once."""
         self._transport.abort()
 
-    async def _wait_change(self, limit_s: float | None) -> None:
-        """Waits until bytes come, the connection closes or the time is up."""
+    async def _wait_change(self, timeout_s: float | None) -> None:
+        """Waits for bytes, the close of the connection or a timeout."""
         self._changed.clear()
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 await self._changed.wait()
         except TimeoutError:
             return
@@ -100,7 +106,7 @@
     """Opens a connection.
 
     Raises:
-      OSError: nobody listens there.
+      OSError: nothing listens on the address.
     """
     loop = asyncio.get_running_loop()
     _, connection = await loop.create_connection(Connection, ip, port)
@@ -108,7 +114,7 @@
 
 
 def parse_answer(data: bytes) -> Answer | None:
-    """Reads an answer, or returns None where bytes of it are missing."""
+    """Parses an answer, or returns None while it is incomplete."""
     head, end, rest = data.partition(b"\r\n\r\n")
     if not end:
         return None
@@ -128,7 +134,7 @@
 
 
 def _join_chunks(data: bytes) -> bytes | None:
-    """Returns the content of chunks, or None where the last is missing."""
+    """Returns the content of chunks, or None without the last chunk."""
     body = b""
     while True:
         size, end, data = data.partition(b"\r\n")
--- a/tools/ways/__init__.py
+++ b/tools/ways/__init__.py
@@ -1,5 +1,7 @@
-"""Compares ways of one decision on the same days and seeds.
+"""Compares alternatives of one design decision on the same days and seeds.
 
-Start reading at ``comparison``; ``plays`` runs one play of the bench,
-``results`` keeps what it gave, ``table`` shows the outcome.
+An alternative, called a way, is a revision of the code. A play is one run of
+the benchmark program, which simulates a day at a site. Start reading at
+``comparison``; ``plays`` runs one play, ``results`` stores the outcomes,
+``table`` formats them.
 """
--- a/tools/ways/comparison.py
+++ b/tools/ways/comparison.py
@@ -1,4 +1,4 @@
-"""Plays several ways of one decision on the same days and seeds."""
+"""Runs the plays of several ways and stores their outcomes."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Way:
-    """One way of a decision.
+    """One alternative of a design decision.
 
     Attributes:
       name: its name in the table.
-      revision: the revision of the code that has it.
+      revision: the git revision that implements it.
     """
 
     name: str
@@ -27,10 +27,10 @@
 
 
 def parse_way(text: str) -> Way:
-    """Reads ``NAME=REVISION``.
+    """Parses ``NAME=REVISION``.
 
     Raises:
-      ValueError: it has another form.
+      ValueError: the text has another form.
     """
     name, sign, revision = text.partition("=")
     if not (name and sign and revision):
@@ -45,7 +45,7 @@
     seeds: Iterable[int],
     small: bool,
 ) -> list[results.Play]:
-    """Returns all plays, those of one day and seed behind each other."""
+    """Returns all plays; those of one day and seed are consecutive."""
     return [
         results.Play(way.name, site, day, seed, small)
         for site in sites
@@ -60,49 +60,49 @@
     kept: results.ResultFile,
     run: Player,
     jobs: int,
-    tell: Callable[[str], None],
+    log: Callable[[str], None],
 ) -> None:
-    """Plays what is not kept yet.
+    """Runs the plays that have no outcome yet.
 
-    A play that gives no report is told and left out.
+    A play that gives no report is logged and skipped.
 
     Args:
       wanted: the plays.
-      kept: outcomes of earlier plays; takes new ones.
-      run: plays one.
-      jobs: plays at once.
-      tell: takes lines about the progress.
+      kept: outcomes of earlier plays; new ones are added.
+      run: runs one play.
+      jobs: number of concurrent plays.
+      log: called with each line about the progress.
     """
     missing = [play for play in wanted if play not in kept.outcomes]
-    tell(f"{len(wanted) - len(missing)} plays are kept, {len(missing)} to go")
+    log(f"{len(wanted) - len(missing)} plays are kept, {len(missing)} to go")
     begun_s = time.monotonic()
     with futures.ThreadPoolExecutor(jobs) as pool:
         running = {pool.submit(run, play): play for play in missing}
         for count, done in enumerate(futures.as_completed(running), 1):
             play = running[done]
-            each_s = (time.monotonic() - begun_s) / count
-            left = f"{each_s * (len(missing) - count):.0f} s left"
+            mean_s = (time.monotonic() - begun_s) / count
+            remaining = f"{mean_s * (len(missing) - count):.0f} s left"
             try:
                 outcome = done.result()
             except plays.PlayError as error:
-                tell(f"{play.way} {play.site} {play.day}: {error}")
+                log(f"{play.way} {play.site} {play.day}: {error}")
                 continue
             kept.add(play, outcome)
-            tell(
+            log(
                 f"{play.way} {play.site} {play.day} seed {play.seed}: "
-                f"{outcome.worth:.3f}, {left}"
+                f"{outcome.worth:.3f}, {remaining}"
             )
 
 
 def make_player(
     bench: plays.Bench, copies: dict[str, pathlib.Path], why: str
 ) -> Player:
-    """Returns what plays a day in the copy that has its way.
+    """Returns a function that runs a play in the copy of its way.
 
     Args:
-      bench: the bench.
-      copies: the copy of the code by the name of a way.
-      why: line for the journal of plays.
+      bench: the benchmark program.
+      copies: folder of the copy of the code, by the name of its way.
+      why: reason that the benchmark program records in its journal.
     """
 
     def run(play: results.Play) -> results.Outcome:
--- a/tools/ways/comparison_test.py
+++ b/tools/ways/comparison_test.py
@@ -1,4 +1,4 @@
-"""The comparison of ways, on canned reports."""
+"""Tests of the comparison, on canned reports."""
 
 import dataclasses
 
@@ -35,7 +35,7 @@
             0.8, breaks={"CONFIG": 2}
         ),
         results.Play("changes", "a", "d", 2, False): make_outcome(0.8),
-        # Nothing to compare it with.
+        # Not counted: the other way has no play with this seed.
         results.Play("whole", "a", "d", 3, False): make_outcome(0.1),
         results.Play("changes", "b", "d", 1, True): make_outcome(
             0.8, fault="ended"
@@ -55,11 +55,11 @@
     )
 
 
-def test_comparison_goes_on_where_it_was_stopped(tmp_path):
+def test_comparison_runs_only_plays_without_an_outcome(tmp_path):
     ways = [comparison.Way("x", "r1"), comparison.Way("y", "r2")]
     wanted = comparison.list_plays(ways, ["a"], ["d"], [1, 2], True)
     path = tmp_path / "kept" / "state.jsonl"
-    played, told = [], []
+    played, lines = [], []
 
     def run(play):
         played.append((play.way, play.seed))
@@ -67,12 +67,12 @@
             raise plays.PlayError("the bench gave no report: busy")
         return make_outcome(0.5, breaks={"LOST": 1})
 
-    comparison.play_all(wanted, results.ResultFile(path), run, 1, told.append)
-    comparison.play_all(wanted, results.ResultFile(path), run, 1, told.append)
+    comparison.play_all(wanted, results.ResultFile(path), run, 1, lines.append)
+    comparison.play_all(wanted, results.ResultFile(path), run, 1, lines.append)
     assert played == [("x", 1), ("y", 1), ("x", 2), ("y", 2), ("x", 2)]
-    assert told[0] == "0 plays are kept, 4 to go"
-    assert "x a d: the bench gave no report: busy" in told
-    assert "3 plays are kept, 1 to go" in told
+    assert lines[0] == "0 plays are kept, 4 to go"
+    assert "x a d: the bench gave no report: busy" in lines
+    assert "3 plays are kept, 1 to go" in lines
     kept = results.ResultFile(path).outcomes
     assert kept[wanted[0]] == make_outcome(0.5, breaks={"LOST": 1})
     assert len(kept) == 4
@@ -85,12 +85,12 @@
     assert str(caught.value) == "'HEAD' is not NAME=REVISION"
 
 
-def test_missing_bench_and_site_are_told(tmp_path):
+def test_missing_bench_and_site_are_reported(tmp_path):
     bench = plays.Bench(tmp_path / "bench", tmp_path)
     with pytest.raises(plays.PlayError) as caught:
         bench.find_site("a")
     assert str(caught.value) == f"there is no bench at {tmp_path}/bench"
-    there = dataclasses.replace(bench, program=tmp_path)
+    existing = dataclasses.replace(bench, program=tmp_path)
     with pytest.raises(plays.PlayError) as caught:
-        there.find_site("a")
+        existing.find_site("a")
     assert str(caught.value) == f"there is no site a below {tmp_path}"
--- a/tools/ways/plays.py
+++ b/tools/ways/plays.py
@@ -1,4 +1,4 @@
-"""Plays one day with the bench, in a copy of the code that has one way."""
+"""Runs one play of the benchmark program on a copy of one revision."""
 
 import dataclasses
 import json
@@ -7,23 +7,23 @@
 
 from tools.ways import results
 
-# Lines of the bench's output that an error shows.
+# Last lines of the output that an error quotes.
 _SHOWN_LINES = 5
 
 
 class PlayError(Exception):
-    """The bench gave no report."""
+    """A play could not be run or gave no report."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bench:
-    """Where the bench and its sites are.
+    """Locations and options of the benchmark program.
 
     Attributes:
-      program: the bench.
-      sites: folder in which the site files lie, at any depth.
-      with_processor: whether processor time is charged; without, a play mostly
-        repeats.
+      program: the executable.
+      sites: folder with the site files, at any depth.
+      with_processor: whether processor time is charged; otherwise the outcome
+        of a play is mostly repeatable.
     """
 
     program: pathlib.Path
@@ -34,7 +34,7 @@
         """Returns the file of a site.
 
         Raises:
-          PlayError: there is none, or the bench itself is missing.
+          PlayError: the site or the benchmark program does not exist.
         """
         if not self.program.exists():
             raise PlayError(f"there is no bench at {self.program}")
@@ -47,10 +47,10 @@
 def copy_code(
     repository: pathlib.Path, revision: str, copy: pathlib.Path
 ) -> None:
-    """Makes a copy of a revision of the code, unless it is there.
+    """Clones a revision of the code, unless the copy exists.
 
     Raises:
-      PlayError: there is no such revision.
+      PlayError: git failed, for instance because the revision is unknown.
     """
     if copy.exists():
         return
@@ -66,16 +66,16 @@
 def run_play(
     bench: Bench, play: results.Play, copy: pathlib.Path, why: str
 ) -> results.Outcome:
-    """Plays one day.
+    """Runs one play.
 
     Args:
-      bench: the bench.
-      play: what to play.
-      copy: the code to play with.
-      why: line for the journal of plays.
+      bench: the benchmark program.
+      play: the play.
+      copy: folder with the code under test.
+      why: reason that the benchmark program records in its journal.
 
     Raises:
-      PlayError: the bench gave no report.
+      PlayError: the program wrote no report.
     """
     report = copy.parent / f"{copy.name}-{play.site}-{_name_day(play)}.json"
     report.unlink(missing_ok=True)
--- a/tools/ways/results.py
+++ b/tools/ways/results.py
@@ -1,24 +1,24 @@
-"""What plays of the bench gave, kept in a file so that a stop loses nothing."""
+"""Outcomes of plays, appended to a file so that an abort loses none."""
 
 import dataclasses
 import json
 import pathlib
 from typing import Any
 
-_WHOLE_DAY = "whole day"
-_WORST_WINDOWS = "worst windows"
+_WHOLE_DAY_PART = "whole day"
+_WORST_WINDOWS_PART = "worst windows"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Play:
-    """One day to play.
+    """One simulated day at a site, run with one way.
 
     Attributes:
-      way: name of the way of the decision.
-      site: name of the site file, without its ending.
+      way: name of the way.
+      site: name of the site file, without its extension.
       day: name of a standard day, or path of a day file.
-      seed: seed of the play; 0 leaves the day's own.
-      small: whether the small twin is played.
+      seed: seed of the play; 0 keeps that of the day.
+      small: whether the reduced variant of the site is simulated.
     """
 
     way: str
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Outcome:
-    """What one play gave.
+    """The scores of one play.
 
     Attributes:
-      worth: credit less prices.
-      worst_windows: share of the credit in the two worst windows.
-      whole_day: share of the credit over the whole day.
-      prices: sum of the prices, as a part of the credit.
-      broken: names of the rules that were broken, and of faults.
+      worth: total score: credit less prices.
+      worst_windows: share of the credit that the two worst windows reached.
+      whole_day: share of the credit that the whole day reached.
+      prices: sum of the prices, as a fraction of the credit.
+      broken: names of violated rules, and the fault that ended the play.
     """
 
     worth: float
@@ -48,7 +48,7 @@
 
 
 def read_report(fields: dict[str, Any]) -> Outcome:
-    """Reads the report that the bench wrote of a play.
+    """Converts a report of the benchmark program.
 
     Raises:
       KeyError: a field is missing.
@@ -57,8 +57,8 @@
     faults = [fields["fault"]] if fields["fault"] else []
     return Outcome(
         worth=fields["G"],
-        worst_windows=parts[_WORST_WINDOWS],
-        whole_day=parts[_WHOLE_DAY],
+        worst_windows=parts[_WORST_WINDOWS_PART],
+        whole_day=parts[_WHOLE_DAY_PART],
         prices=sum(price for _, _, price in fields["prices"]),
         broken=tuple([*fields["breaks"], *faults]),
     )
@@ -68,26 +68,26 @@
     """Outcomes by play, one line of JSON each."""
 
     def __init__(self, path: pathlib.Path):
-        """Reads what is there.
+        """Loads the outcomes of earlier plays.
 
         Args:
-          path: file of the results; it need not exist.
+          path: file of the outcomes; it need not exist.
         """
         self._path = path
         self.outcomes: dict[Play, Outcome] = {}
         if path.exists():
             for line in path.read_text().splitlines():
-                self._take(json.loads(line))
+                self._load_line(json.loads(line))
 
     def add(self, play: Play, outcome: Outcome) -> None:
-        """Keeps one more outcome."""
+        """Adds an outcome and appends it to the file."""
         self.outcomes[play] = outcome
         line = {**dataclasses.asdict(play), **dataclasses.asdict(outcome)}
         self._path.parent.mkdir(parents=True, exist_ok=True)
         with self._path.open("a") as lines:
             lines.write(json.dumps(line) + "\n")
 
-    def _take(self, fields: dict[str, Any]) -> None:
+    def _load_line(self, fields: dict[str, Any]) -> None:
         names = [field.name for field in dataclasses.fields(Play)]
         play = Play(**{name: fields.pop(name) for name in names})
         broken = tuple(fields.pop("broken"))
--- a/tools/ways/table.py
+++ b/tools/ways/table.py
@@ -1,4 +1,4 @@
-"""The outcome of a comparison as a table, one row for each way and site."""
+"""Formats a comparison as a table with a row for each way and site."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,8 +18,8 @@
 ) -> str:
     """Returns a table in Markdown.
 
-    Each figure is the mean over the plays, with the standard deviation between
-    them behind it. Only plays that every way has are counted.
+    Each cell is a mean over plays, followed by their standard deviation. A play
+    counts only if every way has one with the same day and seed.
 
     Args:
       outcomes: by play.
@@ -27,32 +27,32 @@
     """
     lines = [_HEAD, _RULE]
     for site in sorted({play.site for play in outcomes}):
-        shared = _find_shared(outcomes, ways, site)
+        common = _find_common(outcomes, ways, site)
         for way in ways:
             group = [
                 outcome
                 for play, outcome in outcomes.items()
                 if play.way == way
                 and play.site == site
-                and _key(play) in shared
+                and _get_key(play) in common
             ]
             if group:
                 lines.append(_format_row(way, site, group))
     return "\n".join(lines) + "\n"
 
 
-def _key(play: results.Play) -> tuple[str, int, bool]:
+def _get_key(play: results.Play) -> tuple[str, int, bool]:
     return play.day, play.seed, play.small
 
 
-def _find_shared(
+def _find_common(
     outcomes: Mapping[results.Play, results.Outcome],
     ways: list[str],
     site: str,
 ) -> set[tuple[str, int, bool]]:
-    """Returns the days and seeds that every way has played at a site."""
+    """Returns the days and seeds for which every way has an outcome."""
     played = [
-        {_key(p) for p in outcomes if p.way == way and p.site == site}
+        {_get_key(p) for p in outcomes if p.way == way and p.site == site}
         for way in ways
     ]
     return set.intersection(*played)
