--- a/features/answers_test.py
+++ b/features/answers_test.py
@@ -1,4 +1,4 @@
-"""Steps about whole answers."""
+"""Steps for the completeness of answers."""
 
 from pytest_bdd import scenarios
 from pytest_bdd import then
@@ -6,7 +6,7 @@
 scenarios("answers.feature")
 
 
-@then("the engine has counted each of its words")
+@then("the engines have prefilled each of its tokens")
 def check_prompt_tokens(world):
     completion = world.callers["Tamale"].outcome.unwrap()
     assert completion.prompt_tokens == 500_000
--- a/features/at_most_once_test.py
+++ b/features/at_most_once_test.py
@@ -1,4 +1,4 @@
-"""Steps about calls that may not be repeated."""
+"""Steps for calls that may run at most once."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 
 scenarios("at_most_once.feature")
 
-PLACES = {"Accra": "halle-steyr-0", "Tema": "halle-liezen-1"}
+INSTANCE_IDS = {"Accra": "halle-steyr-0", "Tema": "halle-liezen-1"}
 
 
 def send(world, place, body, key):
-    """Sends a notice; who was told nothing for long is as good as away."""
-    node = world.fleet.simulation.instances[PLACES[place]]
+    """Sends a notice; a caller without an answer in 8 s counts as gone."""
+    node = world.fleet.simulation.instances[INSTANCE_IDS[place]]
     caller = world.fleet.call(
         body, key=key, path="/notices", deadline_s=8.0, node=node
     )
@@ -34,11 +34,11 @@
     parsers.parse("the notice goes out again from {place} under the key {key}")
 )
 def send_again(world, place, key):
-    world.node = send(world, place, "notice", key)
+    world.last_caller = send(world, place, "notice", key)
 
 
 @when(parsers.parse("another notice goes out from {place} under the key {key}"))
-def send_other(world, place, key):
+def send_another_notice(world, place, key):
     send(world, place, "another notice", key)
 
 
@@ -57,8 +57,8 @@
         "loses the answers of its writes": {"lose_answers_next": 2},
         "loses writes before they take effect": {"lose_before_next": 2},
         "is very slow": {"slow_s": 1.5},
-        "shows what it held a minute ago": {"stale_s": 60.0},
-        "is well again": {"slow_s": 0.0, "stale_s": 0.0},
+        "serves reads that are a minute stale": {"stale_s": 60.0},
+        "has recovered": {"slow_s": 0.0, "stale_s": 0.0},
     }
     for field, value in fields[trouble].items():
         setattr(faults, field, value)
@@ -77,23 +77,25 @@
         desk.faults.die_after_run_next = 1
 
 
-def act_when_run(world, act):
-    """Does something to the instance in Accra once the notice has run."""
-    node = world.fleet.simulation.instances[PLACES["Accra"]]
+def schedule_after_run(world, action):
+    """Calls a function with the instance in Accra once the notice has run."""
+    node = world.fleet.simulation.instances[INSTANCE_IDS["Accra"]]
     runs = world.fleet.simulation.runs.runs
 
-    async def watch():
+    async def monitor():
         while not runs:
             await world.fleet.simulation.timers.sleep(0.0005)
-        act(node)
+        action(node)
 
-    world.watch = world.fleet.do(lambda: asyncio.ensure_future(watch()))
+    world.monitor_task = world.fleet.do(
+        lambda: asyncio.ensure_future(monitor())
+    )
 
 
 @when("the instance in Accra is about to pause")
 def pause_instance(world):
     network = world.fleet.simulation.network
-    act_when_run(world, lambda node: network.pause(node.port.address))
+    schedule_after_run(world, lambda node: network.pause(node.port.address))
 
 
 @when("the instance in Accra is about to die")
@@ -102,29 +104,29 @@
         world.fleet.kill(node)
         world.callers.pop("Accra").task.cancel()
 
-    act_when_run(world, kill)
+    schedule_after_run(world, kill)
 
 
 @then("the notice ran once")
-def check_once(world):
+def check_single_run(world):
     log = world.fleet.simulation.runs
     assert len(log.runs) == 1
     assert log.find_double_runs() == []
 
 
 @then("both have the same answer")
-def check_same(world):
+def check_same_answer(world):
     answers = [x.outcome.unwrap().body for x in world.callers.values()]
     assert len(answers) == 2 and answers[0] == answers[1]
 
 
-@then("the last one was answered")
-def check_answered(world):
-    assert world.node.outcome.unwrap().status == 200
+@then("the last notice was answered")
+def check_last_answered(world):
+    assert world.last_caller.outcome.unwrap().status == 200
 
 
-@then("nobody was told NOT_RUN")
-def check_nobody(world):
+@then("no caller got the verdict NOT_RUN")
+def check_no_not_run(world):
     for caller in world.callers.values():
         if caller.refused:
             verdict = caller.failure.verdict
--- a/features/configuration_test.py
+++ b/features/configuration_test.py
@@ -1,4 +1,4 @@
-"""Steps about the catalogue in force."""
+"""Steps for the catalogue in force."""
 
 import asyncio
 import dataclasses
@@ -18,18 +18,22 @@
 
 
 def watch_revisions(world):
-    """Notes each revision that an instance puts in force, from now on."""
-    if not hasattr(world, "seen"):
-        world.seen = {}
+    """Records each revision that an instance puts in force from now on."""
+    if not hasattr(world, "revisions"):
+        world.revisions = {}
     for node in world.fleet.nodes:
-        if node.port.address not in world.seen:
+        if node.port.address not in world.revisions:
             catalogue = node.instance.catalogue
-            seen = world.seen[node.port.address] = [catalogue.revision]
-            catalogue.subscribe(lambda x, seen=seen: seen.append(x.revision))
+            revisions = world.revisions[node.port.address] = [
+                catalogue.revision
+            ]
+            catalogue.subscribe(
+                lambda x, revisions=revisions: revisions.append(x.revision)
+            )
 
 
-async def apply(node, weight, change_id):
-    """Asks one instance for a change, as its administration API does."""
+async def apply_change(node, weight, change_id):
+    """Changes the weight of Hofbauer as the administration API does."""
     instance = node.instance
     service = changes.ChangeService(
         instance.outside.store,
@@ -59,7 +63,7 @@
 @when("an operator sets the weight of Hofbauer to 4 at one instance")
 def change_weight(world):
     watch_revisions(world)
-    outcome = world.fleet.run(apply(world.fleet.nodes[0], 4.0, "c1"))
+    outcome = world.fleet.run(apply_change(world.fleet.nodes[0], 4.0, "c1"))
     assert isinstance(outcome, result.Success), outcome
     world.accepted_s = world.fleet.now_s
 
@@ -83,14 +87,14 @@
     world.fleet.do(timers.call_later, 3.0, lambda: network.resume(address))
 
 
-def split(world):
-    """Returns the nodes of both data centres."""
+def split_by_data_centre(world):
+    """Returns the nodes of each of the two data centres."""
     return world.fleet.nodes[0::2], world.fleet.nodes[1::2]
 
 
 @when("the data centres are cut off from each other")
 def cut_data_centres(world):
-    near, far = split(world)
+    near, far = split_by_data_centre(world)
     world.fleet.simulation.network.cut(
         [x.port.address for x in near], [x.port.address for x in far]
     )
@@ -98,7 +102,7 @@
 
 @when("one data centre is cut off from the platform")
 def cut_from_platform(world):
-    for node in split(world)[1]:
+    for node in split_by_data_centre(world)[1]:
         world.fleet.simulation.store.faults.cut_off(node.instance_id)
 
 
@@ -108,19 +112,19 @@
     cut_from_platform(world)
 
 
-@when("the cut ends")
-def end_cut(world):
+@when("the partition ends")
+def end_partition(world):
     assert read_weights(world) == [4.0, 1.0, 4.0, 1.0]
     world.fleet.simulation.network.heal()
-    for node in split(world)[1]:
+    for node in split_by_data_centre(world)[1]:
         world.fleet.do(
             world.fleet.simulation.store.faults.join, node.instance_id
         )
     world.accepted_s = world.fleet.now_s
 
 
-@when("the platform shows what it held a minute ago for 10 seconds")
-def show_old_state(world):
+@when("the platform serves reads that are a minute stale for 10 seconds")
+def serve_stale_reads(world):
     faults = world.fleet.simulation.store.faults
     faults.stale_s = 60.0
     world.fleet.advance(10.0)
@@ -131,7 +135,7 @@
     world.fleet.do(world.fleet.simulation.store.faults.start_outage)
 
 
-def split_port(node):
+def split_address(node):
     host, _, port = node.port.address.rpartition(":")
     return host, int(port)
 
@@ -143,7 +147,7 @@
     fleet.kill(node)
     fleet.advance(5.0)
     fleet.do(fleet.simulation.store.faults.join, node.instance_id)
-    seeds = [kinds.Address(*split_port(x)) for x in fleet.nodes]
+    seeds = [kinds.Address(*split_address(x)) for x in fleet.nodes]
 
     def add_seeds(*args):
         settings = make_settings(*args)
@@ -166,16 +170,16 @@
         assert world.fleet.now_s - world.accepted_s <= seconds
 
 
-@then("no instance ever goes back")
-def check_never_back(world):
+@then("no instance ever reverts")
+def check_no_revert(world):
     world.fleet.advance(10.0)
     assert read_weights(world) == [4.0] * 4
-    for seen in world.seen.values():
-        assert seen == sorted(seen)
+    for revisions in world.revisions.values():
+        assert revisions == sorted(revisions)
 
 
-@then("Steyr asks for a pick list at the new instance and has it")
-def ask_new(world):
+@then("Steyr asks the new instance for a pick list and has the whole answer")
+def ask_new_instance(world):
     world.fleet.advance(4.0)
     caller = world.ask("Steyr", "pick list", node=world.fleet.nodes[-1])
     world.fleet.finish(caller)
@@ -183,20 +187,20 @@
 
 
 @when("two operators change the weight of Hofbauer at the same moment")
-def race(world):
+def change_concurrently(world):
     watch_revisions(world)
 
     async def main():
         return await asyncio.gather(
-            apply(world.fleet.nodes[0], 4.0, "c1"),
-            apply(world.fleet.nodes[1], 5.0, "c2"),
+            apply_change(world.fleet.nodes[0], 4.0, "c1"),
+            apply_change(world.fleet.nodes[1], 5.0, "c2"),
         )
 
     world.outcomes = world.fleet.run(main())
     world.accepted_s = world.fleet.now_s
 
 
-@then("one of them is told of the conflict")
+@then("one of them gets a revision conflict")
 def check_conflict(world):
     refused = [x for x in world.outcomes if isinstance(x, result.Failure)]
     assert len(refused) == 1
@@ -206,9 +210,9 @@
 
 
 @then("the other's change is in force at every instance within 3 seconds")
-def check_winner(world):
-    won = isinstance(world.outcomes[0], result.Success)
-    weight = 4.0 if won else 5.0
+def check_accepted_change(world):
+    first_accepted = isinstance(world.outcomes[0], result.Success)
+    weight = 4.0 if first_accepted else 5.0
     while read_weights(world) != [weight] * 4:
         world.fleet.advance(0.1)
         assert world.fleet.now_s - world.accepted_s <= 3.0
--- a/features/conftest.py
+++ b/features/conftest.py
@@ -1,4 +1,4 @@
-"""Steps that the scenarios share; they run the real code on the fake clock."""
+"""Steps shared by the scenarios, which run the real code on a fake clock."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 from rhubarblock.core import verdict as verdicts
 from rhubarblock.experiments import smallfleet_test as smallfleet
 
-# Prompts by the names that their senders give them, in tokens.
-KINDS = {
+# Length of each kind of prompt in tokens.
+PROMPT_TOKENS = {
     "pick list": 1_000,
     "claim summary": 4_000,
     "convoy plan": 30_000,
@@ -22,17 +22,17 @@
 
 
 class World:
-    """The fleet of a scenario and the callers by their names."""
+    """State of a scenario: its fleet, and its callers by name."""
 
     def __init__(self):
         self.fleet = None
         self.callers = {}
         self.engine = None
         self.node = None
-        self.watch = None
+        self.monitor_task = None
 
     def ask(self, name, kind, **fields):
-        caller = self.fleet.ask(name, KINDS[kind], **fields)
+        caller = self.fleet.ask(name, PROMPT_TOKENS[kind], **fields)
         self.callers[name] = caller
         return caller
 
@@ -44,7 +44,7 @@
         self.fleet.finish(*self.callers.values())
 
     def count_runs(self, caller):
-        """Returns how often what a caller sent was run."""
+        """Returns how often the request of a caller was run."""
         ids = [run.attempt_id for run in self.fleet.simulation.runs.runs]
         ran = sum(x.startswith(f"{caller.request_id}/") for x in ids)
         return ran + sum(
@@ -54,10 +54,10 @@
 
 @pytest.fixture
 def world():
-    present = World()
-    yield present
-    if present.fleet is not None:
-        present.fleet.close()
+    scenario_world = World()
+    yield scenario_world
+    if scenario_world.fleet is not None:
+        scenario_world.fleet.close()
 
 
 @given("a fleet over two data centres")
@@ -91,7 +91,7 @@
 
 
 @when(parsers.parse("{name} has the beginning of the answer"))
-def begin_answer(world, name):
+def wait_for_first_tokens(world, name):
     caller = world.callers[name]
     world.fleet.advance_until_tokens(caller, 3)
     world.engine = next(x for x in world.fleet.engines if x.kv_held())
@@ -100,14 +100,14 @@
 @when(parsers.parse("the engine {trouble}"))
 def break_engine(world, trouble):
     engine = world.engine
-    steps = {
+    actions = {
         "dies": (engine.die,),
-        "starts anew": (engine.restart,),
-        "stands still": (engine.pause, 20.0),
+        "restarts": (engine.restart,),
+        "pauses": (engine.pause, 20.0),
         "refuses connections": (engine.refuse, 20.0),
     }
-    if trouble in steps:
-        world.fleet.do(*steps[trouble])
+    if trouble in actions:
+        world.fleet.do(*actions[trouble])
         return
     faults = {
         "cuts the stream": {"cut_next": 1},
@@ -122,18 +122,18 @@
 
 
 @when(parsers.parse("{seconds:g} seconds pass"))
-def let_time_pass(world, seconds):
+def advance_time(world, seconds):
     world.fleet.advance(seconds)
 
 
-@when("an hour passes in which nothing moves")
+@when("an hour passes without any activity")
 def jump_an_hour(world):
     world.fleet.do(lambda: asyncio.get_running_loop().advance(3_600.0))
     world.fleet.advance(5.0)
 
 
 @when("all have ended")
-def end_all(world):
+def finish_all(world):
     world.finish()
 
 
@@ -153,26 +153,26 @@
 
 
 @then("no caller has a piece of another answer")
-def check_own(world):
+def check_no_foreign_piece(world):
     assert all(caller.own for caller in world.callers.values())
 
 
 @then("each has ended within its time")
-def check_times(world):
+def check_deadlines(world):
     world.finish()
     for caller in world.callers.values():
         assert caller.ended_s <= caller.deadline_s + 0.001, caller.name
 
 
-@then(parsers.parse("{name} is told {verdict}"))
+@then(parsers.parse("{name} gets the verdict {verdict}"))
 def check_verdict(world, name, verdict):
     caller = world.callers[name]
     world.fleet.finish(caller)
     assert caller.failure.verdict.value == verdict, caller.failure
 
 
-@then("it is true of everyone who was told NOT_RUN")
-def check_truth(world):
+@then("no request with the verdict NOT_RUN has run")
+def check_not_run_verdicts(world):
     for caller in world.callers.values():
         if caller.refused and (
             caller.failure.verdict is verdicts.Verdict.NOT_RUN
@@ -181,6 +181,6 @@
 
 
 @then("no engine holds memory for a caller")
-def check_memory(world):
+def check_no_memory_held(world):
     held = [engine.kv_held() for engine in world.fleet.engines]
     assert held == [{}] * len(held)
--- a/features/drawday_test.py
+++ b/features/drawday_test.py
@@ -1,4 +1,4 @@
-"""Days that are drawn for the users' bench can be drawn again, and read."""
+"""Tests of the generator of day files."""
 
 import tomllib
 
@@ -8,7 +8,7 @@
 
 
 def draw(seed, **options):
-    return tomllib.loads(drawday.draw(seed, 40.0, 9, **options))["day"][0]
+    return tomllib.loads(drawday.draw_day(seed, 40.0, 9, **options))["day"][0]
 
 
 def list_kinds(day):
@@ -20,7 +20,7 @@
     assert draw(5) != draw(6)
 
 
-def test_day_has_as_many_troubles_as_asked():
+def test_day_has_the_requested_number_of_faults():
     day = draw(5)
     assert len(day["plan"]) + len(day["faults"]) == 9
     assert all(
@@ -28,9 +28,9 @@
     )
 
 
-def test_all_kinds_are_drawn_and_health_only_where_it_is_checked():
+def test_all_kinds_are_drawn_and_health_kinds_only_with_health_checks():
     without = set().union(*(list_kinds(draw(seed)) for seed in range(80)))
-    everything = {kind.name for kind in drawday.KINDS}
-    assert without == everything - HEALTH_KINDS
-    checked = (list_kinds(draw(n, with_health=True)) for n in range(80))
-    assert set().union(*checked) >= HEALTH_KINDS
+    all_kinds = {kind.name for kind in drawday.KINDS}
+    assert without == all_kinds - HEALTH_KINDS
+    drawn = (list_kinds(draw(n, with_health=True)) for n in range(80))
+    assert set().union(*drawn) >= HEALTH_KINDS
--- a/features/dropped_connection_test.py
+++ b/features/dropped_connection_test.py
@@ -1,4 +1,4 @@
-"""Two instances of two data centres before one engine, over real sockets."""
+"""Steps for dropped connections: two instances, one engine, real sockets."""
 
 import asyncio
 import contextlib
@@ -16,32 +16,33 @@
 scenarios("dropped_connection.feature")
 
 EVENTS = 5
-# Longest seconds of the real clock until something that must come has come.
-PATIENCE_S = 10.0
+# Timeout of a scenario in seconds of the real clock.
+TIMEOUT_S = 10.0
 
 
-class Story:
-    """What is asked for, what the engine did, and what the tenant has.
+class DropCase:
+    """State of a scenario.
 
     Attributes:
-      route: the kind of request.
-      scripts: what the engine does with each request that it gets.
-      has_dropped: set when the tenant's first connection is gone.
-      comes_again: whether the tenant asks once more.
+      route: route of the request.
+      scripts: what the engine does with each request that it receives.
+      has_dropped: event that is set when the tenant's first connection is
+        closed.
+      reconnects: whether the tenant sends the request a second time.
       received: bytes of all answers.
-      is_whole: whether the last answer ended as a whole one does.
-      asked: requests that the engine got.
-      was_closed: whether the engine saw its first connection end.
+      is_complete: whether the last answer was terminated properly.
+      request_count: requests that the engine received.
+      was_closed: whether the engine saw its first connection close.
     """
 
     def __init__(self, route, *scripts):
         self.route = route
         self.scripts = scripts
         self.has_dropped = None
-        self.comes_again = False
+        self.reconnects = False
         self.received = b""
-        self.is_whole = False
-        self.asked = 0
+        self.is_complete = False
+        self.request_count = 0
         self.was_closed = False
 
     def list_events(self):
@@ -61,7 +62,7 @@
 
 
 async def write_events(head, writer, last):
-    """Sends the events after the one that a request names, up to a number."""
+    """Sends the events after the Last-Event-Id of a request, up to a number."""
     first = 1
     for line in head.split("\r\n"):
         if line.startswith(f"{names.LAST_EVENT}: "):
@@ -70,39 +71,39 @@
     await script(head, writer)
 
 
-async def work_until_closed(story, head, writer):
-    """Works on until the caller's leaving has closed the connection."""
-    await story.has_dropped.wait()
+async def write_until_closed(case, head, writer):
+    """Writes until the connection closes because the caller disconnected."""
+    await case.has_dropped.wait()
     while True:
         writer.write(b" ")
         await writer.drain()
         await asyncio.sleep(0.01)
 
 
-async def send_two_and_work(story, head, writer):
+async def send_two_and_continue(case, head, writer):
     with contextlib.suppress(ConnectionResetError):
         await write_events(head, writer, 2)
-    await work_until_closed(story, head, writer)
+    await write_until_closed(case, head, writer)
 
 
-async def send_two_and_break(story, head, writer):
+async def send_two_and_break(case, head, writer):
     await write_events(head, writer, 2)
 
 
-async def send_rest(story, head, writer):
+async def send_remaining(case, head, writer):
     await write_events(head, writer, EVENTS)
 
 
-async def send_whole(story, head, writer):
+async def send_whole(case, head, writer):
     await fakes.whole(b"whole")(head, writer)
 
 
 @contextlib.asynccontextmanager
-async def open_instance(story, endpoint):
-    """Opens an instance whose only endpoint is the engine."""
+async def open_instance(case, endpoint):
+    """Starts an instance whose only endpoint is the engine."""
     table = routes.RoutingTable(
         1,
-        routes.RouteIndex([story.route]),
+        routes.RouteIndex([case.route]),
         {"desk": fakes.SERVICE},
         {"secret": routes.Workspace("members", None)},
         routes.CallerBounds(),
@@ -113,127 +114,131 @@
             yield f"{url}/a/x"
 
 
-async def ask(story, url, is_enough):
-    """Asks an instance, and drops the connection when there is enough."""
+async def ask(case, url, is_enough):
+    """Sends the request; drops the connection as soon as `is_enough` holds."""
     async with (
         aiohttp.ClientSession() as session,
-        session.post(url, headers=story.make_headers()) as answer,
+        session.post(url, headers=case.make_headers()) as answer,
     ):
         try:
             async for data in answer.content.iter_any():
-                story.received += data
+                case.received += data
                 if is_enough():
                     return
-            story.is_whole = True
+            case.is_complete = True
         except aiohttp.ClientPayloadError:
-            story.is_whole = False
+            case.is_complete = False
 
 
-async def play(story, is_enough):
-    """Lets the tenant ask one instance and, if it comes again, another."""
-    story.has_dropped = asyncio.Event()
+async def run_case(case, is_enough):
+    """Sends the request to one instance and, on a reconnect, to another."""
+    case.has_dropped = asyncio.Event()
     endpoint = fakes.ScriptedEndpoint(
         *(
-            lambda head, writer, script=script: script(story, head, writer)
-            for script in story.scripts
+            lambda head, writer, script=script: script(case, head, writer)
+            for script in case.scripts
         )
     )
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(endpoint.open())
         urls = [
-            await stack.enter_async_context(open_instance(story, endpoint))
+            await stack.enter_async_context(open_instance(case, endpoint))
             for _ in range(2)
         ]
-        first = asyncio.ensure_future(ask(story, urls[0], is_enough))
+        first = asyncio.ensure_future(ask(case, urls[0], is_enough))
         while not endpoint.heads:
             await asyncio.sleep(0.01)
         if is_enough():
             first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        story.has_dropped.set()
-        if story.comes_again:
-            await ask(story, urls[1], lambda: False)
+        case.has_dropped.set()
+        if case.reconnects:
+            await ask(case, urls[1], lambda: False)
         await endpoint.closed.wait()
-        story.was_closed = True
-    story.asked = len(endpoint.heads)
+        case.was_closed = True
+    case.request_count = len(endpoint.heads)
 
 
-def run(story, is_enough):
-    asyncio.run(asyncio.wait_for(play(story, is_enough), PATIENCE_S))
+def run(case, is_enough):
+    asyncio.run(asyncio.wait_for(run_case(case, is_enough), TIMEOUT_S))
 
 
 @given(
-    "a review on a streaming route that may be resumed", target_fixture="story"
+    "a review on a streaming route that may be resumed", target_fixture="case"
 )
 def make_resumable():
     route = fakes.make_route(routes.RouteKind.STREAMING, timeout_s=9.0)
-    return Story(route, send_two_and_work, send_rest)
+    return DropCase(route, send_two_and_continue, send_remaining)
 
 
 @given(
     "a review on a streaming route that may not be resumed",
-    target_fixture="story",
+    target_fixture="case",
 )
-def make_strict():
+def make_non_resumable():
     route = fakes.make_route(routes.RouteKind.STREAMING, resumable=False)
-    return Story(route, send_two_and_break, send_rest)
+    return DropCase(route, send_two_and_break, send_remaining)
 
 
-@given("a lookup on an idempotent route", target_fixture="story")
+@given("a lookup on an idempotent route", target_fixture="case")
 def make_lookup():
-    return Story(fakes.make_route(), work_until_closed, send_whole)
+    return DropCase(fakes.make_route(), write_until_closed, send_whole)
 
 
-@given("a booking on a non-idempotent route", target_fixture="story")
+@given("a booking on a non-idempotent route", target_fixture="case")
 def make_booking():
     route = fakes.make_route(routes.RouteKind.NON_IDEMPOTENT)
-    return Story(route, work_until_closed, send_whole)
+    return DropCase(route, write_until_closed, send_whole)
 
 
-@when("the connection drops after two of five events", target_fixture="drops")
-def drop_within(story):
-    return lambda: len(story.list_events()) >= 2
+@when(
+    "the connection drops after two of five events", target_fixture="is_enough"
+)
+def drop_after_two_events(case):
+    return lambda: len(case.list_events()) >= 2
 
 
-@when("the connection drops before the answer", target_fixture="drops")
-def drop_before(story):
+@when("the connection drops before the answer", target_fixture="is_enough")
+def drop_before_answer(case):
     return lambda: True
 
 
-@when("the engine breaks off after two of five events", target_fixture="drops")
-def break_off(story):
+@when(
+    "the engine breaks off after two of five events", target_fixture="is_enough"
+)
+def keep_connection(case):
     return lambda: False
 
 
-@when("the tenant comes again through another data centre")
-def come_again(story):
-    story.comes_again = True
+@when("the tenant reconnects through another data centre")
+def reconnect(case):
+    case.reconnects = True
 
 
 @then("the engine no longer works on the first request")
-def check_closed(story, drops):
-    run(story, drops)
-    assert story.was_closed
+def check_closed(case, is_enough):
+    run(case, is_enough)
+    assert case.was_closed
 
 
 @then("the tenant has each of the five events once")
-def check_events(story):
-    assert story.list_events() == [1, 2, 3, 4, 5]
-    assert story.is_whole
+def check_events(case):
+    assert case.list_events() == [1, 2, 3, 4, 5]
+    assert case.is_complete
 
 
-@then("the tenant has two events and an answer that does not look whole")
-def check_cut(story, drops):
-    run(story, drops)
-    assert story.list_events() == [1, 2]
-    assert not story.is_whole
+@then("the tenant has two events and an answer that does not look complete")
+def check_cut(case, is_enough):
+    run(case, is_enough)
+    assert case.list_events() == [1, 2]
+    assert not case.is_complete
 
 
 @then("the tenant has the whole answer")
-def check_answer(story):
-    assert story.received == b"whole"
+def check_answer(case):
+    assert case.received == b"whole"
 
 
-@then("the engine was asked once")
-def check_asked(story):
-    assert story.asked == 1
+@then("the engine received one request")
+def check_request_count(case):
+    assert case.request_count == 1
--- a/features/golden_test.py
+++ b/features/golden_test.py
@@ -1,13 +1,13 @@
-"""A whole session against a golden file.
+"""Compares a scripted session with a golden file.
 
-The script below is fixed, the clock is fake and every choice follows from a
-seed, so each run gives the same log of what every caller got and when. A
-change of routing changes times in it, and may change nothing else:
+The script is fixed, the clock is fake and every choice follows from a seed, so
+each run gives the same log of what every caller received and when. A change of
+routing may change the times in it, but nothing else. To accept such a change:
 
     REWRITE_GOLDEN=1 .venv/bin/python -m pytest features/golden_test.py
     git diff features/golden
 
-Look through the difference before it is committed.
+Review the difference before committing it.
 """
 
 import os
@@ -22,7 +22,7 @@
 
 
 class Log:
-    """What each caller got, with the seconds of the fake clock."""
+    """Log of what each caller received, with times of the fake clock."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -33,7 +33,7 @@
         self.lines.append((self.fleet.now_s, text))
 
     def watch(self, caller):
-        """Notes the first piece of a caller and its end, when they come."""
+        """Logs the first piece that a caller receives, and its outcome."""
         write = caller.write
 
         async def note_first(chunk):
@@ -76,8 +76,8 @@
         )
 
 
-def play(fleet, log):
-    """The script: two brigades, a claim desk, a case file, and faults."""
+def run_session(fleet, log):
+    """Runs the script: prompts, notices, faults and a planned stop."""
     accra, tema = fleet.nodes[:2]
 
     def ask(name, tokens, node=accra, **fields):
@@ -137,12 +137,12 @@
     log.note(f"engines hold {held} tokens; notices that ran: {runs}")
 
 
-def test_session_is_that_of_the_golden_file():
+def test_session_matches_the_golden_file():
     path = GOLDEN / "session.txt"
     with smallfleet.open_fleet(engines=6, decoders=2) as fleet:
         fleet.advance(10.0)
         log = Log(fleet)
-        play(fleet, log)
+        run_session(fleet, log)
         text = log.format()
     if os.environ.get(REWRITE):
         path.write_text(text)
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -25,10 +25,10 @@
     Then the desk ran none of them
     And each was answered
 
-  Scenario: An engine whose drain was taken back gets work again
+  Scenario: An engine whose drain was cancelled gets work again
     Given a fleet of 1 engine and one entry instance
     When one engine is drained by an operator at one instance
     And 1 seconds pass
-    And one engine gets its drain taken back
+    And one engine gets its drain cancelled
     And Steyr asks for a pick list
     Then Steyr has the whole answer and only its own
--- a/features/leaving_test.py
+++ b/features/leaving_test.py
@@ -1,4 +1,4 @@
-"""Steps about endpoints that leave."""
+"""Steps for endpoints that leave."""
 
 from pytest_bdd import parsers
 from pytest_bdd import scenarios
@@ -23,7 +23,7 @@
 
 
 @when(parsers.parse("one engine {sign}"))
-def let_leave(world, sign):
+def start_leaving(world, sign):
     fleet = world.fleet
     engine = world.engine = fleet.engines[0]
     if "platform's list" in sign:
@@ -38,7 +38,7 @@
         for node in fleet.nodes:
             order_drain(world, node, True)
     else:
-        order_drain(world, fleet.nodes[-1], "taken back" not in sign)
+        order_drain(world, fleet.nodes[-1], "cancelled" not in sign)
 
 
 def order_drain(world, node, is_drained):
@@ -53,12 +53,12 @@
 
 
 @when(parsers.parse("{seconds:g} seconds after the list shows it pass"))
-def let_list_show(world, seconds):
+def wait_for_list(world, seconds):
     world.fleet.advance(smallfleet.LIST_LAG_S + seconds)
 
 
 @then("the engine got none of them")
-def check_engine(world):
+def check_no_new_work(world):
     world.finish()
     assert world.engine.counters.accepted == world.accepted
 
@@ -77,7 +77,7 @@
 
 
 @then("the desk ran none of them")
-def check_desk(world):
+def check_desk_ran_nothing(world):
     runs = world.fleet.simulation.runs.runs
     assert len(runs) == 12
     assert "desk-0" not in {run.endpoint_id for run in runs}
--- a/features/memory_test.py
+++ b/features/memory_test.py
@@ -1,4 +1,4 @@
-"""Steps about the memory of engines."""
+"""Steps for the KV memory of engines."""
 
 from pytest_bdd import parsers
 from pytest_bdd import scenarios
@@ -7,13 +7,13 @@
 scenarios("memory.feature")
 
 
-@when(parsers.parse("{name} goes away"))
-def leave(world, name):
+@when(parsers.parse("{name} disconnects"))
+def disconnect(world, name):
     world.callers.pop(name).task.cancel()
 
 
-@when("the prompt is half computed")
-def compute_half(world):
+@when("the prompt is partly prefilled")
+def prefill_partly(world):
     world.node = world.fleet.nodes[0]
     while not any(engine.kv_held() for engine in world.fleet.engines):
         world.fleet.advance(0.01)
@@ -28,7 +28,7 @@
 
 
 @when("the instance is cut off from the engines")
-def cut_instance(world):
+def isolate_instance(world):
     for engine in world.fleet.engines:
         world.node.client.block(engine.address)
 
--- a/features/not_run.feature
+++ b/features/not_run.feature
@@ -1,13 +1,13 @@
 Feature: A refusal that says NOT_RUN is true
 
-  Scenario Outline: A stock booking meets trouble at the warehouse application
+  Scenario Outline: A stock booking fails at the warehouse application
     Given a fleet over two data centres
     When every desk <trouble>
     And Steyr sends a stock booking
     And all have ended
-    Then Steyr is told <verdict>
+    Then Steyr gets the verdict <verdict>
     And it ran <runs> times
-    And it is true of everyone who was told NOT_RUN
+    And no request with the verdict NOT_RUN has run
 
     Examples:
       | trouble                             | verdict      | runs |
@@ -19,22 +19,22 @@
       | dies after it ran                   | MAY_HAVE_RUN | 1    |
       | mixes its answers up                | MAY_HAVE_RUN | 1    |
 
-  Scenario Outline: A prompt meets trouble at the only engine
+  Scenario Outline: A prompt fails at the only engine
     Given a fleet of 1 engine and one entry instance
     When <before>
     And Steyr asks for a pick list within 8 seconds
     And <then>
     And all have ended
-    Then Steyr is told <verdict>
-    And it is true of everyone who was told NOT_RUN
+    Then Steyr gets the verdict <verdict>
+    And no request with the verdict NOT_RUN has run
 
     Examples:
-      | before                     | then                              | verdict      |
-      | the engine is not there    | 1 seconds pass                    | NOT_RUN      |
-      | the engine takes no work   | 1 seconds pass                    | NOT_RUN      |
-      | 1 seconds pass             | the engine is lost in the middle  | MAY_HAVE_RUN |
-      | 1 seconds pass             | the engine is drained and cuts    | MAY_HAVE_RUN |
-      | 1 seconds pass             | the engine stops in the middle    | MAY_HAVE_RUN |
+      | before                      | then                                          | verdict      |
+      | the engine is dead          | 1 seconds pass                                | NOT_RUN      |
+      | the engine refuses new work | 1 seconds pass                                | NOT_RUN      |
+      | 1 seconds pass              | the engine dies in the middle of its answer   | MAY_HAVE_RUN |
+      | 1 seconds pass              | the engine is drained and cuts the stream     | MAY_HAVE_RUN |
+      | 1 seconds pass              | the engine pauses in the middle of its answer | MAY_HAVE_RUN |
 
   Scenario: A request races with the drain of its instance
     Given a fleet over two data centres
@@ -44,16 +44,16 @@
     And Admont sends a stock booking
     And all have ended
     Then Steyr has the whole answer and only its own
-    And Liezen is told NOT_RUN
-    And it is true of everyone who was told NOT_RUN
+    And Liezen gets the verdict NOT_RUN
+    And no request with the verdict NOT_RUN has run
 
   Scenario Outline: The connection to a desk breaks on real sockets
     When a desk breaks the connection <moment>
-    Then the call is told <verdict>
+    Then the call gets the verdict <verdict>
 
     Examples:
-      | moment                            | verdict      |
-      | before it is accepted             | NOT_RUN      |
-      | before the last byte of the body  | MAY_HAVE_RUN |
-      | after the last byte of the body   | MAY_HAVE_RUN |
-      | in the middle of its answer       | MAY_HAVE_RUN |
+      | moment                           | verdict      |
+      | before it is accepted            | NOT_RUN      |
+      | before the last byte of the body | MAY_HAVE_RUN |
+      | after the last byte of the body  | MAY_HAVE_RUN |
+      | in the middle of its answer      | MAY_HAVE_RUN |
--- a/features/not_run_test.py
+++ b/features/not_run_test.py
@@ -1,4 +1,4 @@
-"""Steps about the truth of refusals."""
+"""Steps for the correctness of the verdict NOT_RUN."""
 
 import asyncio
 import socket
@@ -34,14 +34,14 @@
         for field, value in DESK_FAULTS[trouble].items():
             setattr(desk.faults, field, value)
     if trouble == "mixes its answers up":
-        # Both calls must come to the same desk to be mixed up.
+        # Only calls to the same desk can be mixed up.
         for address in list(world.fleet.simulation.services)[1:]:
             world.fleet.simulation.services[address].faults.dead = True
         world.call("Liezen")
 
 
 @when(parsers.parse("{name} sends a stock booking"))
-def book(world, name):
+def send_booking(world, name):
     world.call(name)
 
 
@@ -51,34 +51,34 @@
     assert world.count_runs(world.callers["Steyr"]) == runs
 
 
-@when("the engine is not there")
+@when("the engine is dead")
 def remove_engine(world):
     world.engine = world.fleet.engines[0]
     world.fleet.do(world.engine.die)
 
 
-@when("the engine takes no work")
+@when("the engine refuses new work")
 def refuse_work(world):
-    # By then it has the order that gives it its role.
+    # Lets the engine first receive the order that assigns its role.
     world.fleet.advance(5.0)
     world.engine = world.fleet.engines[0]
     world.engine.draining = True
 
 
-def reach_middle(world):
+def wait_for_middle(world):
     world.fleet.advance_until_tokens(world.callers["Steyr"], 3)
     world.engine = world.fleet.engines[0]
 
 
-@when("the engine is lost in the middle")
-def lose_engine(world):
-    reach_middle(world)
+@when("the engine dies in the middle of its answer")
+def kill_engine(world):
+    wait_for_middle(world)
     world.fleet.do(world.engine.die)
 
 
-@when("the engine is drained and cuts")
+@when("the engine is drained and cuts the stream")
 def drain_engine(world):
-    reach_middle(world)
+    wait_for_middle(world)
     node = world.fleet.nodes[0].instance
     world.fleet.do(
         node.endpoints.states.mark_draining, world.engine.endpoint_id
@@ -86,9 +86,9 @@
     world.engine.faults.cut_next = 1
 
 
-@when("the engine stops in the middle")
-def stop_engine(world):
-    reach_middle(world)
+@when("the engine pauses in the middle of its answer")
+def pause_engine(world):
+    wait_for_middle(world)
     world.fleet.do(world.engine.pause, 100.0)
 
 
@@ -98,7 +98,7 @@
 
 
 class BreakingDesk:
-    """A real listener that breaks each connection at one moment."""
+    """A real listener that resets each connection at a given moment."""
 
     def __init__(self, moment):
         self.moment = moment
@@ -116,7 +116,7 @@
 
     @staticmethod
     def reset(writer):
-        """Closes with a reset instead of an orderly end."""
+        """Closes a connection with a TCP reset."""
         sock = writer.get_extra_info("socket")
         linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -125,7 +125,7 @@
 
 @when(
     parsers.parse("a desk breaks the connection {moment}"),
-    target_fixture="told",
+    target_fixture="received_verdict",
 )
 def call_breaking_desk(moment):
     async def main():
@@ -148,6 +148,6 @@
     return asyncio.run(main())
 
 
-@then(parsers.parse("the call is told {verdict}"))
-def check_told(told, verdict):
-    assert told == verdict
+@then(parsers.parse("the call gets the verdict {verdict}"))
+def check_call_verdict(received_verdict, verdict):
+    assert received_verdict == verdict
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -10,15 +10,15 @@
     Then all have whole answers, each only its own
     And nobody was refused
     And no engine holds memory for a caller
-    And the others know that it left
+    And the other instances know that it left
 
-  Scenario: What comes during the stop is refused at once and served elsewhere
+  Scenario: A request during the stop is refused at once and served elsewhere
     Given a fleet over two data centres
     When Tamale asks for a case file
     And the instance begins to stop as planned
     And Steyr asks the stopping instance for a pick list
-    Then Steyr is told NOT_RUN
-    And it took no time
+    Then Steyr gets the verdict NOT_RUN
+    And it was refused at once
     And Steyr asks the other instance and has the whole answer
     And the stop ends after Tamale's answer
 
--- a/features/planned_stop_test.py
+++ b/features/planned_stop_test.py
@@ -1,4 +1,4 @@
-"""Steps about planned stops."""
+"""Steps for planned stops."""
 
 import asyncio
 
@@ -39,8 +39,8 @@
     world.ask(name, kind, node=world.node)
 
 
-@then("it took no time")
-def check_at_once(world):
+@then("it was refused at once")
+def check_refused_at_once(world):
     caller = world.callers["Steyr"]
     assert caller.ended_s == caller.asked_s
 
@@ -53,7 +53,7 @@
 
 
 @then("the stop ends after Tamale's answer")
-def check_stop(world):
+def check_stop_waits(world):
     caller = world.callers["Tamale"]
     assert not caller.task.done() and not world.stop.done()
 
@@ -65,11 +65,11 @@
 
 
 @then("nobody was refused")
-def check_nobody(world):
+def check_none_refused(world):
     assert not any(caller.refused for caller in world.callers.values())
 
 
-@then("the others know that it left")
+@then("the other instances know that it left")
 def check_left(world):
     for node in world.fleet.nodes:
         live = node.instance.membership.live_instances()
@@ -88,7 +88,7 @@
 
 
 @when(parsers.parse("{count:d} prompts are spread over all instances"))
-def spread(world, count):
+def send_to_all(world, count):
     for number in range(count):
         node = world.fleet.nodes[number % len(world.fleet.nodes)]
         name = f"caller {len(world.callers)}"
--- a/features/soak_test.py
+++ b/features/soak_test.py
@@ -1,155 +1,161 @@
-"""The soak's checks can fail, and a short seed of it holds."""
+"""The soak's checks find violations, and a short run of it has none."""
 
 import asyncio
 import random
 
 from rhubarblock.platform import names
+from tools.soak import cooldownwatch
 from tools.soak import evidence as evidences
-from tools.soak import keptcallers
+from tools.soak import keepalivecallers
 from tools.soak import leavewatch
 from tools.soak import proxy as proxies
 from tools.soak import ratewatch
-from tools.soak import restwatch
 from tools.soak import run
 from tools.soak import wire
 
-# Removed keys count from here in the tests of the checks.
-REMOVED_S = 100.0
+# When the requests of the tests are sent, in seconds of the soak's clock.
+SENT_S = 100.0
 
 
 def make_evidence(kind="once", **fields):
     seen = evidences.Evidence()
-    seen.sent["q1"] = evidences.Sent("q1", kind, "k", REMOVED_S, **fields)
+    seen.sent["q1"] = evidences.SentRequest("q1", kind, "k", SENT_S, **fields)
     return seen
 
 
-def test_second_run_of_a_call_is_a_fault():
+def test_second_run_of_a_non_idempotent_call_is_a_violation():
     seen = make_evidence()
     seen.note_run("q1", "e1")
-    assert seen.faults == []
+    assert seen.violations == []
     seen.note_run("q1", "e2")
-    assert seen.faults == ["q1 ran twice: ['e1', 'e2']"]
+    assert seen.violations == ["q1 ran twice: ['e1', 'e2']"]
 
 
-def test_second_run_of_an_idempotent_request_is_none():
+def test_second_run_of_an_idempotent_request_is_allowed():
     seen = make_evidence("again")
     seen.note_run("q1", "e1")
     seen.note_run("q1", "e2")
-    assert seen.faults == []
+    assert seen.violations == []
 
 
-def test_refusal_of_a_call_that_ran_is_a_fault():
+def test_refusal_of_a_call_that_ran_is_a_violation():
     seen = make_evidence(status=503)
     seen.note_run("q1", "e1")
-    seen.close()
-    assert seen.faults == ["q1 was called not run and ran"]
+    seen.check_outcomes()
+    assert seen.violations == ["q1 was called not run and ran"]
 
 
-def test_answer_that_is_not_the_own_whole_is_a_fault():
-    seen = make_evidence(status=200, whole=False)
-    seen.close()
-    assert seen.faults == ["q1 got an answer that is not its own whole"]
+def test_incomplete_or_foreign_answer_is_a_violation():
+    seen = make_evidence(status=200, is_complete=False)
+    seen.check_outcomes()
+    assert seen.violations == ["q1 got an answer that is not its own whole"]
 
 
-def test_key_that_was_removed_long_before_is_a_fault():
+def test_run_with_a_revoked_key_is_a_violation():
     seen = make_evidence()
-    seen.revoked_s["k"] = REMOVED_S - 3.5
+    seen.key_revoked_s["k"] = SENT_S - 3.5
     seen.check_revoked("q1", 4.0)
-    assert seen.faults == []
+    assert seen.violations == []
     seen.check_revoked("q1", 3.0)
-    assert seen.faults == ["q1 ran with a key removed 3.50 s before"]
+    assert seen.violations == ["q1 ran with a key removed 3.50 s before"]
 
 
-def test_run_of_a_request_that_nobody_sent_is_a_fault():
+def test_run_of_a_request_that_nobody_sent_is_a_violation():
     seen = evidences.Evidence()
     seen.note_run("q9", "e1")
-    assert seen.faults == ["q9 ran and nobody sent it"]
+    assert seen.violations == ["q9 ran and nobody sent it"]
 
 
-def test_key_that_a_process_takes_again_is_a_fault():
+def test_process_that_accepts_a_key_again_is_a_violation():
     seen = make_evidence(process_id=5)
     seen.sent["q1"].status = 401
     seen.note_answer(seen.sent["q1"], 5)
-    later = evidences.Sent("q2", "again", "k", evidences.read_clock() + 1.0)
+    later = evidences.SentRequest(
+        "q2", "again", "k", evidences.read_clock() + 1.0
+    )
     seen.sent["q2"] = later
     later.process_id = 6
     seen.note_run("q2", "e1")
-    assert seen.faults == []
+    assert seen.violations == []
     later.process_id = 5
     seen.note_run("q2", "e1")
-    assert seen.faults == [
+    assert seen.violations == [
         "q2 ran with a key that process 5 had refused before"
     ]
 
 
-def count_faults(monkeypatch, arrivals, told_s=REMOVED_S, disturbed_s=None):
-    """Sends requests to an endpoint that named a limit, ten a second."""
-    clock = [REMOVED_S]
+def count_limit_violations(
+    monkeypatch, arrivals, limit_forwarded_s=SENT_S, disturbed_s=None
+):
+    """Sends ten requests a second to an endpoint with a rate limit."""
+    clock = [SENT_S]
     monkeypatch.setattr(evidences, "read_clock", lambda: clock[0])
     seen = make_evidence(process_id=5)
     rate = ratewatch.RateWatch("e1", seen)
-    rate.name(1.0)
-    if told_s is not None:
-        seen.note_told(rate.mark, 5)
+    rate.set_limit(1.0)
+    if limit_forwarded_s is not None:
+        seen.note_limit_forwarded(rate.announcement_id, 5)
     if disturbed_s is not None:
         seen.disturbed_s[5] = disturbed_s
-    clock[0] += ratewatch.STABLE_S
+    clock[0] += ratewatch.SETTLING_S
     for _ in range(arrivals):
         rate.note_arrival("q1", 0.0)
         clock[0] += 0.1
-    return len(seen.faults)
+    return len(seen.violations)
 
 
-def test_more_requests_than_an_endpoint_takes_are_a_fault(monkeypatch):
-    assert count_faults(monkeypatch, 11) == 0
-    assert count_faults(monkeypatch, 12) == 1
+def test_requests_above_a_rate_limit_are_a_violation(monkeypatch):
+    assert count_limit_violations(monkeypatch, 11) == 0
+    assert count_limit_violations(monkeypatch, 12) == 1
 
 
-def test_process_that_was_not_told_or_was_frozen_breaks_no_limit(monkeypatch):
-    assert count_faults(monkeypatch, 20, told_s=None) == 0
-    assert count_faults(monkeypatch, 20, disturbed_s=REMOVED_S + 2.0) == 0
+def test_process_without_the_limit_or_frozen_violates_no_limit(monkeypatch):
+    assert count_limit_violations(monkeypatch, 20, limit_forwarded_s=None) == 0
+    assert (
+        count_limit_violations(monkeypatch, 20, disturbed_s=SENT_S + 2.0) == 0
+    )
 
 
-def test_refusal_by_a_process_that_was_replaced_proves_nothing():
+def test_refusal_by_a_replaced_process_is_not_recorded():
     seen = make_evidence(process_id=5, status=401)
     seen.note_answer(seen.sent["q1"], 6)
-    assert seen.refused_s == {}
+    assert seen.key_refused_s == {}
 
 
-def test_request_that_is_cut_or_late_in_calm_times_is_a_fault():
-    for overdue, fault in (
+def test_cut_or_timed_out_request_in_calm_times_is_a_violation():
+    for has_timed_out, message in (
         (False, "q1 was cut in calm times"),
         (True, "q1 had no answer in its time"),
     ):
-        seen = make_evidence(overdue=overdue)
+        seen = make_evidence(has_timed_out=has_timed_out)
         seen.note_answer(seen.sent["q1"], 5)
-        assert seen.faults == []
-        seen.calm_s = REMOVED_S
+        assert seen.violations == []
+        seen.calm_since_s = SENT_S
         seen.note_answer(seen.sent["q1"], 5)
-        assert seen.faults == [fault]
+        assert seen.violations == [message]
 
 
-def test_request_that_a_planned_stop_cut_is_a_fault(monkeypatch):
-    monkeypatch.setattr(evidences, "read_clock", lambda: REMOVED_S + 0.7)
+def test_request_cut_by_a_planned_stop_is_a_violation(monkeypatch):
+    monkeypatch.setattr(evidences, "read_clock", lambda: SENT_S + 0.7)
     seen = make_evidence(process_id=5)
-    seen.calm_s = REMOVED_S - 10.0
-    seen.stopped_s[5] = REMOVED_S - 2.5
+    seen.calm_since_s = SENT_S - 10.0
+    seen.stop_signalled_s[5] = SENT_S - 2.5
     seen.note_answer(seen.sent["q1"], 5)
-    assert seen.faults == [
+    assert seen.violations == [
         "q1 was cut by a planned stop 3.20 s after the signal; "
         "it was sent 2.50 s after it"
     ]
 
 
-def test_request_that_crossed_a_close_and_did_not_run_is_none():
-    seen = make_evidence(process_id=5, is_unread=True)
-    seen.calm_s = REMOVED_S - 10.0
+def test_unread_request_on_a_closed_connection_must_not_run():
+    seen = make_evidence(process_id=5, may_be_unread=True)
+    seen.calm_since_s = SENT_S - 10.0
     seen.note_answer(seen.sent["q1"], 5)
-    seen.close()
-    assert seen.faults == []
+    seen.check_outcomes()
+    assert seen.violations == []
     seen.note_run("q1", "e1")
-    seen.close()
-    assert seen.faults == ["q1 ran and was cut by a planned stop"]
+    seen.check_outcomes()
+    assert seen.violations == ["q1 ran and was cut by a planned stop"]
 
 
 class ClosingServer(asyncio.Protocol):
@@ -174,40 +180,48 @@
         loop.call_later(self._wait_s, self._transport.close)
 
 
-async def ask_as_it_closes(monkeypatch, wait_s=0.0, answer=b"", late_s=3.0):
-    """Sends requests late after a signal; returns the last of them."""
+async def send_to_closing_server(
+    monkeypatch, wait_s=0.0, answer=b"", after_s=3.0
+):
+    """Sends two requests after a stop signal, the second as it closes.
+
+    Returns:
+      Whether the second may be unread, and the number of violations.
+    """
     loop = asyncio.get_running_loop()
     server = await loop.create_server(
         lambda: ClosingServer(wait_s, answer), "127.0.0.1", 0
     )
-    seen = evidences.Evidence(calm_s=0.0)
-    seen.stopped_s[5] = evidences.read_clock() - late_s
-    monkeypatch.setattr(keptcallers, "PIECES_SHARE", 0.0)
-    caller = keptcallers.KeptCaller("k", None, ["key"], seen, random.Random(1))
+    seen = evidences.Evidence(calm_since_s=0.0)
+    seen.stop_signalled_s[5] = evidences.read_clock() - after_s
+    monkeypatch.setattr(keepalivecallers, "SPLIT_SHARE", 0.0)
+    caller = keepalivecallers.KeepAliveCaller(
+        "k", None, ["key"], seen, random.Random(1)
+    )
     async with server:
         port = server.sockets[0].getsockname()[1]
         connection = await wire.connect("127.0.0.1", port)
         for _ in range(2):
-            await caller.ask(connection, 5)
+            await caller.send_request(connection, 5)
         connection.close()
-    return seen.sent["k-2"].is_unread, len(seen.faults)
+    return seen.sent["k-2"].may_be_unread, len(seen.violations)
 
 
-def test_close_at_once_on_a_kept_connection_goes_as_unread(monkeypatch):
-    assert asyncio.run(ask_as_it_closes(monkeypatch)) == (True, 0)
+def test_request_is_unread_if_its_idle_connection_closes_at_once(monkeypatch):
+    assert asyncio.run(send_to_closing_server(monkeypatch)) == (True, 0)
 
 
-def test_close_of_what_was_read_or_answered_is_a_cut(monkeypatch):
+def test_close_of_a_read_or_answered_request_is_a_violation(monkeypatch):
     for case in (
-        {"wait_s": 2 * keptcallers.UNREAD_S},
+        {"wait_s": 2 * keepalivecallers.UNREAD_CLOSE_S},
         {"answer": b"HTTP"},
-        {"late_s": 1.0},
+        {"after_s": 1.0},
     ):
-        seen = asyncio.run(ask_as_it_closes(monkeypatch, **case))
+        seen = asyncio.run(send_to_closing_server(monkeypatch, **case))
         assert seen == (False, 1)
 
 
-def test_answers_are_read_from_their_bytes():
+def test_answer_is_parsed_only_when_complete():
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n"
     plain = head + b"Content-Length: 2\r\n\r\nab"
     chunks = head + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -223,104 +237,108 @@
             assert wire.parse_answer(message[:length]) is None
 
 
-def test_work_for_an_endpoint_that_left_is_a_fault_in_calm_times():
+def test_work_for_a_draining_endpoint_in_calm_times_is_a_violation():
     now_s = evidences.read_clock()
     seen = make_evidence("again")
-    seen.left_s["e1"] = now_s - 3.0
+    seen.drain_listed_s["e1"] = now_s - 3.0
     seen.note_run("q1", "e1")
-    assert seen.faults == []
-    seen.calm_s = now_s - 4.0
+    assert seen.violations == []
+    seen.calm_since_s = now_s - 4.0
     seen.note_run("q1", "e1")
-    assert len(seen.faults) == 1
-    assert seen.faults[0].startswith("q1 reached e1 3.")
-    seen.left_s["e1"] = now_s - 1.0
+    assert len(seen.violations) == 1
+    assert seen.violations[0].startswith("q1 reached e1 3.")
+    seen.drain_listed_s["e1"] = now_s - 1.0
     seen.note_run("q1", "e1")
-    assert len(seen.faults) == 1
+    assert len(seen.violations) == 1
 
 
-def ask_for_rest(monkeypatch, lates_s, asked_s=(0.0,), rest_s=3.0):
-    """Sends requests of a process to an endpoint that asked it for rest."""
-    clock = [REMOVED_S]
+def request_cooldown(
+    monkeypatch, arrivals_s, requested_s=(0.0,), retry_after_s=3.0
+):
+    """Sends requests of a process to an endpoint that asks for cool-downs."""
+    clock = [SENT_S]
     monkeypatch.setattr(evidences, "read_clock", lambda: clock[0])
     seen = make_evidence("again", process_id=5)
-    rest = restwatch.RestWatch("e1", seen)
-    way = proxies.SoakProxy()
-    for late_s in sorted({*lates_s, *asked_s}):
-        clock[0] = REMOVED_S + late_s
-        if late_s in lates_s:
-            rest.note_arrival("q1", way)
-        if late_s in asked_s:
-            rest.ask("q1", rest_s)
-        yield seen, way
-
-
-def count_rest_faults(monkeypatch, lates_s, **options):
-    for seen, _ in ask_for_rest(monkeypatch, lates_s, **options):
-        faults = len(seen.faults)
-    return faults
-
-
-def test_third_request_in_a_rest_is_a_fault(monkeypatch):
-    assert count_rest_faults(monkeypatch, (0.6, 1.0)) == 0
-    assert count_rest_faults(monkeypatch, (0.6, 1.0, 2.9)) == 1
-    assert count_rest_faults(monkeypatch, (0.1, 0.2, 0.49, 3.0, 3.1)) == 0
-    again = {"asked_s": (0.0, 2.0), "rest_s": 2.5}
-    assert count_rest_faults(monkeypatch, (2.6, 3.0, 4.0), **again) == 1
+    watch = cooldownwatch.CooldownWatch("e1", seen)
+    proxy = proxies.SoakProxy()
+    for after_s in sorted({*arrivals_s, *requested_s}):
+        clock[0] = SENT_S + after_s
+        if after_s in arrivals_s:
+            watch.note_arrival("q1", proxy)
+        if after_s in requested_s:
+            watch.note_requested("q1", retry_after_s)
+        yield seen, proxy
+
+
+def count_cooldown_violations(monkeypatch, arrivals_s, **options):
+    for seen, _ in request_cooldown(monkeypatch, arrivals_s, **options):
+        count = len(seen.violations)
+    return count
+
+
+def test_third_request_in_a_cool_down_is_a_violation(monkeypatch):
+    assert count_cooldown_violations(monkeypatch, (0.6, 1.0)) == 0
+    assert count_cooldown_violations(monkeypatch, (0.6, 1.0, 2.9)) == 1
+    assert (
+        count_cooldown_violations(monkeypatch, (0.1, 0.2, 0.49, 3.0, 3.1)) == 0
+    )
+    again = {"requested_s": (0.0, 2.0), "retry_after_s": 2.5}
+    assert count_cooldown_violations(monkeypatch, (2.6, 3.0, 4.0), **again) == 1
 
 
-def test_requests_of_another_process_or_after_a_freeze_break_no_rest(
+def test_other_or_disturbed_processes_violate_no_cool_down(
     monkeypatch,
 ):
-    for spoil in (
-        lambda seen, way: seen.disturbed_s.update({5: REMOVED_S + 0.1}),
-        lambda seen, way: setattr(seen.sent["q1"], "process_id", 6),
-        lambda seen, way: setattr(way, "mode", "slow"),
-        lambda seen, way: setattr(way, "healed_s", REMOVED_S + 0.1),
+    for disturb in (
+        lambda seen, proxy: seen.disturbed_s.update({5: SENT_S + 0.1}),
+        lambda seen, proxy: setattr(seen.sent["q1"], "process_id", 6),
+        lambda seen, proxy: setattr(proxy, "mode", "slow"),
+        lambda seen, proxy: setattr(proxy, "healed_s", SENT_S + 0.1),
     ):
-        spoilt = False
-        for seen, way in ask_for_rest(monkeypatch, (0.6, 0.7, 0.8, 0.9)):
-            if not spoilt:
-                spoil(seen, way)
-            spoilt = True
-        assert seen.faults == []
+        is_disturbed = False
+        for seen, proxy in request_cooldown(monkeypatch, (0.6, 0.7, 0.8, 0.9)):
+            if not is_disturbed:
+                disturb(seen, proxy)
+            is_disturbed = True
+        assert seen.violations == []
 
 
-def make_leaving(monkeypatch, sent_s, told_process=5):
-    """Passes on that an endpoint leaves, and a later request."""
-    clock = [REMOVED_S - sent_s]
+def make_leaving(monkeypatch, sent_s, forwarding_process=5):
+    """Records a forwarded leaving header, and a request sent later."""
+    clock = [SENT_S - sent_s]
     monkeypatch.setattr(evidences, "read_clock", lambda: clock[0])
     seen = make_evidence("again", process_id=5)
     headers = {names.LEAVING: "1", names.SEAL: "e1.77.0"}
-    leavewatch.note_answer(seen, {names.SEAL: "e2.77.0"}, told_process)
-    leavewatch.note_answer(seen, headers, told_process)
-    clock[0] = REMOVED_S
+    leavewatch.note_answer(seen, {names.SEAL: "e2.77.0"}, forwarding_process)
+    leavewatch.note_answer(seen, headers, forwarding_process)
+    clock[0] = SENT_S
     return seen
 
 
-def test_request_sent_after_a_process_was_told_of_a_leaving_is_a_fault(
+def test_request_sent_to_a_leaving_endpoint_is_a_violation(
     monkeypatch,
 ):
     seen = make_leaving(monkeypatch, 2.1)
     leavewatch.check_arrival(seen, "q1", "e2")
-    assert seen.faults == []
+    assert seen.violations == []
     leavewatch.check_arrival(seen, "q1", "e1")
-    assert seen.faults == [
+    assert seen.violations == [
         "q1 reached e1 and was sent 2.10 s after process 5 passed on that it "
         "leaves"
     ]
 
 
-def test_request_that_came_in_time_or_after_a_freeze_is_no_fault(monkeypatch):
+def test_early_request_or_frozen_process_violates_no_leaving(monkeypatch):
     early = make_leaving(monkeypatch, 1.9)
-    other = make_leaving(monkeypatch, 2.1, told_process=6)
+    other = make_leaving(monkeypatch, 2.1, forwarding_process=6)
     frozen = make_leaving(monkeypatch, 2.1)
-    frozen.disturbed_s[5] = REMOVED_S - 1.0
+    frozen.disturbed_s[5] = SENT_S - 1.0
     for seen in (early, other, frozen):
         leavewatch.check_arrival(seen, "q1", "e1")
-        assert seen.faults == []
+        assert seen.violations == []
 
 
-def test_seeds_that_broke_a_rule_are_read_from_their_file(tmp_path):
+def test_seeds_are_parsed_from_the_file_and_the_option(tmp_path):
     path = tmp_path / "seeds.txt"
     path.write_text("# Seeds.\n17 a stop that cut streams\n\n4 a lost lease\n")
     assert run.read_seeds(path) == [17, 4]
@@ -329,7 +347,7 @@
     assert list(run.parse_seeds("")) == []
 
 
-def test_short_seed_breaks_no_rule():
-    seen = asyncio.run(run.play_seed(7, 4.0))
-    assert seen.faults == []
+def test_short_run_has_no_violation():
+    seen = asyncio.run(run.run_seed(7, 4.0))
+    assert seen.violations == []
     assert seen.count(200) > 0
--- a/features/time.feature
+++ b/features/time.feature
@@ -1,6 +1,6 @@
 Feature: Every admitted filing or dispatch request ends within its time
 
-  Scenario Outline: Trouble at the engine that answers
+  Scenario Outline: Faults of the engine that answers
     Given a fleet over two data centres
     When Steyr asks for a pick list within 15 seconds
     And Tamale asks for a claim summary within 15 seconds
@@ -10,35 +10,35 @@
     And all have ended
     Then each has ended within its time
     And no caller has a piece of another answer
-    And it is true of everyone who was told NOT_RUN
+    And no request with the verdict NOT_RUN has run
 
     Examples:
       | trouble                     |
       | dies                        |
-      | stands still                |
+      | pauses                      |
       | becomes twenty times slower |
       | answers late                |
       | cuts every stream           |
 
-  Scenario Outline: Trouble of a whole part
+  Scenario Outline: Faults of other parts
     Given a fleet over two data centres
     When <part>
     And 20 prompts of both institutions arrive over 2 seconds
     And all have ended
     Then each has ended within its time
-    And it is true of everyone who was told NOT_RUN
+    And no request with the verdict NOT_RUN has run
     And <share> of them were answered
 
     Examples:
-      | part                                     | share     |
-      | the platform is down                     | all       |
-      | the data centres are cut off             | all       |
-      | all engines but one die                  | most      |
-      | all engines die                          | none      |
+      | part                         | share |
+      | the platform is down         | all   |
+      | the data centres are cut off | all   |
+      | all engines but one die      | most  |
+      | all engines die              | none  |
 
-  Scenario: What cannot end in time is refused at once
+  Scenario: A request that cannot end in time is refused at once
     Given a fleet of 1 engine and one entry instance
     When Steyr asks for a pick list within 0.1 seconds
     And all have ended
-    Then Steyr is told NOT_RUN
-    And it took no time
+    Then Steyr gets the verdict NOT_RUN
+    And it was refused at once
--- a/features/time_test.py
+++ b/features/time_test.py
@@ -1,4 +1,4 @@
-"""Steps about the time of requests."""
+"""Steps for the deadlines of requests."""
 
 from pytest_bdd import parsers
 from pytest_bdd import scenarios
@@ -47,11 +47,13 @@
 @then(parsers.parse("{share} of them were answered"))
 def check_share(world, share):
     whole = sum(caller.whole for caller in world.callers.values())
-    least, most = {"all": (20, 20), "most": (15, 20), "none": (0, 0)}[share]
-    assert least <= whole <= most
+    min_count, max_count = {"all": (20, 20), "most": (15, 20), "none": (0, 0)}[
+        share
+    ]
+    assert min_count <= whole <= max_count
 
 
-@then("it took no time")
-def check_at_once(world):
+@then("it was refused at once")
+def check_refused_at_once(world):
     for caller in world.callers.values():
         assert caller.ended_s == caller.asked_s
