--- a/rhubarblock/experiments/fleetchoices.py
+++ b/rhubarblock/experiments/fleetchoices.py
@@ -1,7 +1,7 @@
-"""Measures the ways that were weighed for membership and distribution.
+"""Compares design alternatives for membership and catalogue distribution.
 
-The design notes of both quote it: each way runs the same session with the
-same seed, and only the choice under test differs.
+Each alternative runs the same session with the same seed; only the choice
+under test differs. The design notes of both quote the figures.
 """
 
 import asyncio
@@ -36,16 +36,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ProbingResult:
-    """What one way of choosing the probed instances costs and gives.
+    """Cost and detection times of one way to choose the probed instances.
 
     Attributes:
       way: its name.
-      bytes_per_s: bytes that an instance sends, on average, in steady state.
-      death_known_s_p50: median time until an instance knows of a death.
+      bytes_per_s: mean bytes that an instance sends in steady state.
+      death_known_s_p50: median seconds until an instance detects a crash.
       death_known_s_max: longest such time.
-      rack_known_s_max: the same of instances that died together.
-      false_deaths: deaths declared of instances that lived, while one after
-        another was paused for 0.95 s and messages got lost.
+      rack_known_s_max: the same for instances that crashed together.
+      false_deaths: live instances declared dead, while one after another was
+        paused for 0.95 s and messages were lost.
     """
 
     way: str
@@ -58,15 +58,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DistributionResult:
-    """What one way of bringing the catalogue to all costs and gives.
+    """Cost and delay of one way to distribute the catalogue.
 
     Attributes:
       way: its name.
-      in_force_s_p50: median time from a change until an instance has it.
-      in_force_s_max: longest such time, with lost and reordered events.
-      platform_calls_per_s: calls of an instance in steady state; a waiting
-        watch counts as one a second.
-      bytes_per_change: bytes that an instance sends for a change, on average.
+      in_force_s_p50: median seconds from a change until it is in force at an
+        instance, with dropped and reordered events.
+      in_force_s_max: longest such time.
+      platform_calls_per_s: platform calls of an instance in steady state; a
+        waiting watch counts as one a second.
+      bytes_per_change: mean bytes that an instance sends for a change.
     """
 
     way: str
@@ -108,7 +109,7 @@
         nodes = await _start(fleet, instances, make_plan)
         bytes_per_s = await _measure_bytes(fleet, nodes)
         known_s = await _measure_deaths(fleet, nodes, seed)
-        false_deaths = await _pause_some(fleet, nodes, seed, loss)
+        false_deaths = await _pause_instances(fleet, nodes, seed, loss)
         rack_s = await _measure_rack(fleet, nodes, seed)
         return ProbingResult(
             way,
@@ -162,7 +163,7 @@
             for node in nodes
         ]
         for follower in self._followers:
-            follower.subscribe(self._note)
+            follower.subscribe(self._record_in_force)
 
     @contextlib.asynccontextmanager
     async def run(self):  # type: ignore[no-untyped-def]
@@ -208,12 +209,12 @@
         late = len(self._nodes) - len(came_s)
         return [s - started_s for s in came_s] + [_CHANGE_INTERVAL_S] * late
 
-    def _note(self, catalogue: catalogues.Catalogue) -> None:
+    def _record_in_force(self, catalogue: catalogues.Catalogue) -> None:
         now_s = self._fleet.timers.read_monotonic()
         self._in_force_s.setdefault(catalogue.revision, []).append(now_s)
 
     def _count_calls(self) -> int:
-        # The list belongs to membership and is the same in every way.
+        # Membership reads the list, equally often in every alternative.
         counters = self._fleet.platform.counters
         return counters["read"] + counters["watch"]
 
@@ -249,7 +250,7 @@
     nodes: list[memoryfleet.FleetNode],
     seed: int,
 ) -> list[float]:
-    """Kills instances one by one; returns when each other one knew."""
+    """Kills instances one by one; returns the others' detection times."""
     rng = random.Random(f"{seed} deaths")
     known_s = []
     for _ in range(_DEATHS):
@@ -268,7 +269,7 @@
     nodes: list[memoryfleet.FleetNode],
     seed: int,
 ) -> list[float]:
-    """Kills several instances at once; returns when each other one knew."""
+    """Kills several instances at once; returns the detection times."""
     victims = random.Random(f"{seed} rack").sample(nodes, _RACK)
     rest = [node for node in nodes if node not in victims]
     for victim in victims:
@@ -298,13 +299,13 @@
     return elapsed_s
 
 
-async def _pause_some(
+async def _pause_instances(
     fleet: memoryfleet.MemoryFleet,
     nodes: list[memoryfleet.FleetNode],
     seed: int,
     loss: float,
 ) -> int:
-    """Pauses one after another; returns the deaths declared meanwhile."""
+    """Pauses instances one by one; returns the deaths declared meanwhile."""
     rng = random.Random(f"{seed} pauses")
     before = sum(n.membership.counters.deaths_found for n in nodes)
     fleet.network.loss = loss
--- a/rhubarblock/experiments/fleetsockets.py
+++ b/rhubarblock/experiments/fleetsockets.py
@@ -1,8 +1,8 @@
-"""Membership and distribution over real sockets on loopback.
+"""Measures membership and distribution over real sockets on loopback.
 
-Many instances run in one process, each with its own gRPC server. What the
-fake clock cannot show is measured here: the processor time that gRPC takes,
-and detection while the machine is busy. Times are the machine's.
+Many instances run in one process, each with its own gRPC server. The run uses
+the real clock, because a fake one shows neither the processor time of gRPC
+nor crash detection on a busy machine.
 """
 
 import asyncio
@@ -41,20 +41,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SocketResult:
-    """What a fleet over sockets took.
+    """Results of one run over sockets.
 
     Attributes:
       scenario: name of the scenario.
-      seed: seed of what is drawn.
+      seed: seed of everything random.
       instances: instances, all in one data centre and one process.
-      config_in_force_s_p50: median time from a change until an instance has
-        it.
+      config_in_force_s_p50: median seconds from a change until it is in force
+        at an instance.
       config_in_force_s_max: longest such time.
-      death_known_s_p50: median time until an instance knows of a death.
+      death_known_s_p50: median seconds until an instance detects a crash.
       death_known_s_max: longest such time.
-      false_deaths: instances declared dead that lived.
-      calls_per_s: calls that an instance sends in steady state.
-      control_cpu_share: share of a core that an instance takes in steady
+      false_deaths: live instances that were declared dead.
+      calls_per_s: calls that an instance sends a second in steady state.
+      control_cpu_share: share of a core that an instance uses in steady
         state, gRPC included.
     """
 
@@ -80,11 +80,14 @@
 
 
 async def measure(count: int, seed: int) -> SocketResult:
-    """Runs a fleet over sockets; takes half a minute.
+    """Runs a fleet over sockets, which takes about half a minute.
 
     Args:
-      count: instances, at most 40.
-      seed: seed of what is drawn.
+      count: number of instances, from 2 to 40.
+      seed: seed of everything random.
+
+    Raises:
+      ValueError: the number of instances is out of range.
     """
     if not 2 <= count <= MOST_INSTANCES:
         raise ValueError(f"instances must be 2 to {MOST_INSTANCES}")
@@ -124,7 +127,7 @@
         await self._timers.sleep(_SETTLE_S)
         calls_per_s, cpu_share = await self._measure_costs()
         in_force_s = await self._change()
-        known_s = await self._kill_some()
+        known_s = await self._kill_instances()
         return SocketResult(
             SCENARIO,
             self._seed,
@@ -166,7 +169,7 @@
                 instances.InstanceKind.ENTRY,
             )
         )
-        stack.enter_context(membership.subscribe(self._note_member))
+        stack.enter_context(membership.subscribe(self._record_member))
         await stack.enter_async_context(membership.run())
         follower = distribution.CatalogueFollower(
             membership,
@@ -176,7 +179,7 @@
             rng,
         )
         node = _Node(peers, membership, follower, stack, {})
-        follower.subscribe(lambda found: self._note_in_force(node, found))
+        follower.subscribe(lambda found: self._record_in_force(node, found))
         await stack.enter_async_context(follower.run())
         self._nodes.append(node)
 
@@ -184,13 +187,13 @@
         self._nodes.remove(node)
         await node.stack.aclose()
 
-    def _note_member(self, member: members.Member) -> None:
+    def _record_member(self, member: members.Member) -> None:
         alive = {node.membership.own.instance_id for node in self._nodes}
         is_dead = member.state is members.MemberState.DEAD
         if is_dead and member.instance_id in alive:
             self._false.add(member.instance_id)
 
-    def _note_in_force(
+    def _record_in_force(
         self, node: _Node, catalogue: catalogues.Catalogue
     ) -> None:
         now_s = self._timers.read_monotonic()
@@ -198,7 +201,7 @@
 
     async def _measure_costs(self) -> tuple[float, float]:
         calls = sum(node.peers.counters.calls_sent for node in self._nodes)
-        # This asks for work done and not for the time of day.
+        # Measures processor time only; timing is left to the timer service.
         started_cpu_s = time.process_time()
         await self._timers.sleep(_STEADY_S)
         cpu_s = time.process_time() - started_cpu_s
@@ -225,7 +228,7 @@
                 taken_s.append(came_s - started_s)
         return taken_s
 
-    async def _kill_some(self) -> list[float]:
+    async def _kill_instances(self) -> list[float]:
         known_s: list[float] = []
         for _ in range(min(_DEATHS, len(self._nodes) - 1)):
             victim = self._rng.choice(self._nodes)
--- a/rhubarblock/experiments/history.py
+++ b/rhubarblock/experiments/history.py
@@ -1,9 +1,9 @@
-"""Results of scenarios, read back and compared beyond their noise.
+"""Reads results of scenarios and compares them, taking noise into account.
 
 A result file holds one JSON object, or one on each line for several seeds or
-policies. Runs of the same scenario, policy and load are one group; how their
-figures differ between seeds is the noise. Where both files have the same seeds
-the runs are compared in pairs, which takes most of the noise away.
+policies. Runs of the same scenario, policy and load form a group; the
+variation of their figures between seeds is the noise. If both files have the
+same seeds, runs are compared in pairs, which removes most of the noise.
 """
 
 from collections.abc import Iterator
@@ -17,16 +17,16 @@
 import statistics
 from typing import Any
 
-# A change counts when it is over so many standard errors. Of a thousand
-# figures that did not change some three are still shown.
-ERRORS = 3.0
-# Fields that tell what was run, and are no figures.
+# Standard errors that a difference must exceed to count as a change. About
+# three in a thousand unchanged figures still exceed it.
+THRESHOLD_ERRORS = 3.0
+# Fields that identify the run and are no figures.
 _LABELS = ("scenario", "policy", "load", "instances", "weight_ttft")
 _SKIPPED = frozenset({*_LABELS, "seed", "plan", "machine", "points", "note"})
 
 
 class Verdict(enum.Enum):
-    """What became of a figure."""
+    """How a figure changed."""
 
     SAME = "same"
     HIGHER = "higher"
@@ -41,8 +41,8 @@
     Attributes:
       group: scenario, policy and load, as one text.
       seed: its seed; None if it has none.
-      figures: every number in it, by its path joined by dots.
-      errors: standard errors that the run itself gives, by the same names.
+      figures: every number in it, by its dotted path.
+      errors: standard errors that the run itself reports, by the same names.
       fields: the result as it was read.
     """
 
@@ -62,7 +62,7 @@
       figure: its name.
       old: mean in the old file.
       new: mean in the new file.
-      noise: standard error of the difference; None when nothing shows it.
+      noise: standard error of the difference; None if it is unknown.
       verdict: whether it changed beyond the noise.
     """
 
@@ -78,7 +78,7 @@
     """Reads a result file.
 
     Raises:
-      ValueError: it holds something else than results.
+      ValueError: it holds something other than results.
     """
     return [_make_run(fields) for fields in _read_objects(path.read_text())]
 
@@ -102,18 +102,18 @@
     figures: dict[str, float] = {}
     errors: dict[str, float] = {}
     if "series" in fields:
-        _take_slopes(fields["series"], figures, errors)
+        _collect_slopes(fields["series"], figures, errors)
     else:
         figures = dict(_list_numbers("", fields))
     return Run(" ".join(labels), fields.get("seed"), figures, errors, fields)
 
 
-def _take_slopes(
+def _collect_slopes(
     series: Sequence[Mapping[str, Any]],
     figures: dict[str, float],
     errors: dict[str, float],
 ) -> None:
-    """Takes the slopes of a result of ``capacity`` as its figures."""
+    """Collects the slopes of a ``capacity`` result as its figures."""
     for each in series:
         for quantity, fit in each["fits"].items():
             for term, slope, error in zip(
@@ -125,7 +125,7 @@
 
 
 def _list_numbers(prefix: str, value: Any) -> Iterator[tuple[str, float]]:
-    """Yields every number in a result with its path."""
+    """Yields every number in a result with its dotted path."""
     if isinstance(value, bool):
         return
     if isinstance(value, int | float):
@@ -145,7 +145,7 @@
       new: runs of the later file.
 
     Returns:
-      The figures in order of group and name.
+      The figures, ordered by group and name.
     """
     changes = []
     for group in sorted({x.group for x in old} & {x.group for x in new}):
@@ -170,38 +170,38 @@
 ) -> Change:
     before = statistics.mean(run.figures[name] for run in old)
     after = statistics.mean(run.figures[name] for run in new)
-    noise = _find_noise(name, old, new)
-    verdict = _judge(after - before, noise)
+    noise = _compute_noise(name, old, new)
+    verdict = _classify(after - before, noise)
     return Change(group, name, before, after, noise, verdict)
 
 
-def _judge(difference: float, noise: float | None) -> Verdict:
+def _classify(difference: float, noise: float | None) -> Verdict:
     if not difference:
         return Verdict.SAME
     if noise is None:
         return Verdict.UNKNOWN
-    if abs(difference) <= ERRORS * noise:
+    if abs(difference) <= THRESHOLD_ERRORS * noise:
         return Verdict.SAME
     return Verdict.HIGHER if difference > 0 else Verdict.LOWER
 
 
-def _find_noise(
+def _compute_noise(
     name: str, old: Sequence[Run], new: Sequence[Run]
 ) -> float | None:
     """Returns the standard error of the difference of two means."""
     pairs = _pair(old, new)
     if len(pairs) > 1:
-        return _find_error(
+        return _compute_error(
             [b.figures[name] - a.figures[name] for a, b in pairs]
         )
-    errors = [_find_own_error(name, runs) for runs in (old, new)]
+    errors = [_compute_own_error(name, runs) for runs in (old, new)]
     if None in errors:
         return None
     return math.hypot(*(error or 0.0 for error in errors))
 
 
 def _pair(old: Sequence[Run], new: Sequence[Run]) -> list[tuple[Run, Run]]:
-    """Returns runs of the same seed, if both files have the same seeds."""
+    """Returns pairs of runs with the same seed, if the seeds are the same."""
     before = {run.seed: run for run in old if run.seed is not None}
     after = {run.seed: run for run in new if run.seed is not None}
     if before.keys() != after.keys() or len(before) != len(old):
@@ -209,11 +209,11 @@
     return [(before[seed], after[seed]) for seed in before]
 
 
-def _find_own_error(name: str, runs: Sequence[Run]) -> float | None:
+def _compute_own_error(name: str, runs: Sequence[Run]) -> float | None:
     if len(runs) > 1:
-        return _find_error([run.figures[name] for run in runs])
+        return _compute_error([run.figures[name] for run in runs])
     return runs[0].errors.get(name)
 
 
-def _find_error(values: Sequence[float]) -> float:
+def _compute_error(values: Sequence[float]) -> float:
     return statistics.stdev(values) / math.sqrt(len(values))
--- a/rhubarblock/experiments/history_test.py
+++ b/rhubarblock/experiments/history_test.py
@@ -22,8 +22,8 @@
     return history.read_runs(path)
 
 
-def judge(tmp_path, old, new):
-    """Compares p95 of two lists of (seed, value)."""
+def compare_p95(tmp_path, old, new):
+    """Returns the verdict on p95 for two lists of (seed, value)."""
     runs = [
         read(tmp_path, name, *(make_result(*each) for each in pairs))
         for name, pairs in (("old", old), ("new", new))
@@ -32,7 +32,7 @@
     return {x.figure: x.verdict for x in changes}["ttft_s.lt8k.p95"]
 
 
-def test_a_run_gives_its_numbers_by_path(tmp_path):
+def test_run_has_its_numbers_by_dotted_path(tmp_path):
     (run,) = read(tmp_path, "a", make_result(3, 0.5, ok=True, gone=None))
     assert run.group == "mixed-adwoa policy=naive load=0.7"
     assert run.seed == 3
@@ -47,30 +47,32 @@
     assert run.errors == {"loads.cpu.1": 0.1, "loads.cpu.x": 0.2}
 
 
-def test_a_difference_within_the_noise_of_seeds_is_none(tmp_path):
+def test_difference_within_the_noise_of_seeds_is_no_change(tmp_path):
     old = [(1, 1.0), (2, 1.4), (3, 0.8)]
     new = [(4, 1.1), (5, 1.5), (6, 0.9)]
-    assert judge(tmp_path, old, new) is history.Verdict.SAME
+    assert compare_p95(tmp_path, old, new) is history.Verdict.SAME
 
 
 def test_the_same_seeds_are_compared_in_pairs(tmp_path):
     old = [(1, 1.0), (2, 1.4), (3, 0.8)]
     new = [(1, 1.1), (2, 1.51), (3, 0.89)]
-    assert judge(tmp_path, old, new) is history.Verdict.HIGHER
+    assert compare_p95(tmp_path, old, new) is history.Verdict.HIGHER
 
 
-def test_a_fall_beyond_the_noise_is_seen(tmp_path):
+def test_decrease_beyond_the_noise_is_detected(tmp_path):
     old = [(1, 2.0), (2, 2.1)]
     new = [(3, 1.0), (4, 1.1)]
-    assert judge(tmp_path, old, new) is history.Verdict.LOWER
+    assert compare_p95(tmp_path, old, new) is history.Verdict.LOWER
 
 
-def test_one_run_each_shows_no_noise(tmp_path):
-    assert judge(tmp_path, [(1, 1.0)], [(1, 1.1)]) is history.Verdict.UNKNOWN
-    assert judge(tmp_path, [(1, 1.0)], [(1, 1.0)]) is history.Verdict.SAME
+def test_noise_of_single_runs_is_unknown(tmp_path):
+    assert (
+        compare_p95(tmp_path, [(1, 1.0)], [(1, 1.1)]) is history.Verdict.UNKNOWN
+    )
+    assert compare_p95(tmp_path, [(1, 1.0)], [(1, 1.0)]) is history.Verdict.SAME
 
 
-def test_groups_of_one_file_only_are_named(tmp_path):
+def test_groups_in_only_one_file_are_listed_as_unmatched(tmp_path):
     old = read(tmp_path, "a", make_result(1, 1.0))
     new = read(tmp_path, "b", make_result(1, 1.0) | {"policy": "length_aware"})
     assert history.compare(old, new) == []
@@ -81,7 +83,7 @@
 
 
 @pytest.mark.parametrize("text", ["[1]", "{}", "nonsense"])
-def test_what_is_no_result_is_refused(tmp_path, text):
+def test_file_without_results_is_refused(tmp_path, text):
     path = tmp_path / "bad"
     path.write_text(text)
     with pytest.raises(ValueError):
--- a/rhubarblock/experiments/idle.py
+++ b/rhubarblock/experiments/idle.py
@@ -1,7 +1,7 @@
-"""What a request takes alone on an idle fleet, by the engine's cost model.
+"""Predicts request latency on an idle fleet from the engine's cost model.
 
-It is the base of every stretch and slowdown. A test holds it against the real
-code on an idle stand-in fleet.
+Every stretch and slowdown is relative to these times. A test compares them
+with the real code on an idle stand-in fleet.
 """
 
 import math
@@ -12,24 +12,24 @@
 
 
 def predict_first_token(prompt_tokens: int) -> float:
-    """Returns seconds to the first token, without a cached prefix."""
+    """Returns the seconds to the first token, without a cached prefix."""
     iterations = math.ceil(prompt_tokens / SETTINGS.prefill_chunk_tokens)
     compute_s = prompt_tokens / SETTINGS.prefill_tokens_per_s
     return iterations * SETTINGS.iteration_s + compute_s
 
 
 def predict_total(prompt_tokens: int, output_tokens: int) -> float:
-    """Returns seconds to the last token."""
+    """Returns the seconds to the last token."""
     gap_s = SETTINGS.iteration_s + SETTINGS.decode_s
     return predict_first_token(prompt_tokens) + (output_tokens - 1) * gap_s
 
 
 def predict_capacity() -> float:
-    """Returns the prompt tokens a second that one engine of a fleet sustains.
+    """Returns the prefill capacity of one engine in prompt tokens a second.
 
-    It is the rate at which an engine with both roles computes prompts while it
-    also generates: 512 tokens in an iteration of 8 ms and 512/40,000 s. Load
-    is given as a share of it, whatever roles a policy then uses.
+    This is the rate at which an engine with both roles computes prompts while
+    it also decodes: 512 tokens in an iteration of 8 ms plus 512/40,000 s.
+    Scenarios give load as a share of it, whatever roles a policy assigns.
     """
     chunk = SETTINGS.mixed_chunk_tokens
     iteration_s = SETTINGS.iteration_s + chunk / SETTINGS.prefill_tokens_per_s
--- a/rhubarblock/experiments/idle_test.py
+++ b/rhubarblock/experiments/idle_test.py
@@ -1,4 +1,4 @@
-"""The idle model against the real code, the mix of prompts, percentiles."""
+"""Tests of the idle model, the drawn workload and the percentiles."""
 
 import random
 import statistics
@@ -14,13 +14,13 @@
     workload.Tenant("adwoa", "adwoa/a", 3),
     workload.Tenant("adwoa", "adwoa/b", 1),
 ]
-# Seconds of the way to an engine and back, and of a placement.
-_WAY_S = 0.01
+# Bound on the round trip to an engine plus a placement, in seconds.
+_ROUND_TRIP_S = 0.01
 
 
 @pytest.mark.parametrize("policy", ["naive", "length_aware"])
-def test_idle_model_is_what_the_real_code_takes_on_an_idle_fleet(policy):
-    """Prompts one after the other, each with the fleet to itself."""
+def test_idle_model_predicts_the_real_code_on_an_idle_fleet(policy):
+    """Sends prompts one after the other, each alone on the fleet."""
     with smallfleet.open_fleet(policy=policy, engines=2) as fleet:
         for tokens in (16, 1_000, 5_000, 20_000, 150_000):
             caller = fleet.ask(f"of {tokens}", tokens, 30)
@@ -28,19 +28,25 @@
             first_s = idle.predict_first_token(tokens)
             total_s = idle.predict_total(tokens, 30)
             assert caller.whole
-            assert 0 <= caller.first_s - caller.asked_s - first_s < _WAY_S
-            assert 0 <= caller.ended_s - caller.asked_s - total_s < _WAY_S
+            assert (
+                0 <= caller.first_s - caller.asked_s - first_s < _ROUND_TRIP_S
+            )
+            assert (
+                0 <= caller.ended_s - caller.asked_s - total_s < _ROUND_TRIP_S
+            )
             fleet.advance(0.5)
 
 
-def test_hand_over_takes_little_more_than_the_idle_model():
+def test_prefill_handover_adds_only_the_last_copy_to_the_idle_model():
     with smallfleet.open_fleet(engines=2, decoders=1) as fleet:
         caller = fleet.ask(tokens=20_000, output=30)
         fleet.finish(caller)
         total_s = idle.predict_total(20_000, 30)
-        # The last slice is copied once the prompt has been computed.
+        # Only the last slice is copied after prefill has ended.
         copied_s = 4_096 / 200_000
-        assert caller.ended_s - caller.asked_s < total_s + copied_s + _WAY_S
+        assert (
+            caller.ended_s - caller.asked_s < total_s + copied_s + _ROUND_TRIP_S
+        )
 
 
 def test_capacity_is_that_of_an_engine_with_both_roles():
@@ -55,7 +61,7 @@
     )
 
 
-def test_mix_has_the_lengths_that_were_agreed():
+def test_workload_has_the_specified_length_distribution():
     requests = [arrival.request for arrival in draw(1)]
     lengths = [request.prompt_tokens for request in requests]
     outputs = [request.max_tokens for request in requests]
@@ -75,12 +81,12 @@
     assert large / n == pytest.approx(0.75, rel=0.05)
 
 
-def test_mix_follows_from_its_seed():
+def test_workload_is_deterministic_for_a_seed():
     assert draw(1, 5.0, 10.0) == draw(1, 5.0, 10.0)
     assert draw(1, 5.0, 10.0) != draw(2, 5.0, 10.0)
 
 
-def test_shared_prefixes_are_those_of_the_workspace():
+def test_prompts_of_a_workspace_share_its_prefix_only():
     blocks = {}
     for arrival in draw(3, 20.0, 20.0):
         request = arrival.request
@@ -102,5 +108,5 @@
         ([0.123456], (0.1235, 0.1235, 0.1235, 1)),
     ],
 )
-def test_percentiles_are_samples(samples, expected):
+def test_percentiles_are_nearest_rank_samples(samples, expected):
     assert quantiles.summarise(list(samples)) == quantiles.Quantiles(*expected)
--- a/rhubarblock/experiments/limits/__init__.py
+++ b/rhubarblock/experiments/limits/__init__.py
@@ -1,4 +1,5 @@
-"""The scenario ``limits``: are limits held over all instances together?
+"""The scenario ``limits``: enforcement of limits across all instances.
 
-Others use ``scenario``. Read on in ``fleet`` and ``meter``.
+``scenario`` is the interface to other packages; ``fleet`` has the instances
+and ``meter`` measures the use of a limit.
 """
--- a/rhubarblock/experiments/limits/fleet.py
+++ b/rhubarblock/experiments/limits/fleet.py
@@ -1,7 +1,8 @@
-"""Entry instances that do nothing but admit: the bench of the limits.
+"""Entry instances reduced to admission control, for the scenario ``limits``.
 
-Limiter and lending are the real ones, on a network in memory. Membership is
-reduced to what it tells them, with the delays that its own measurement gives.
+Limiter and lending are the real code on an in-memory network. Membership is
+replaced by a model that detects crashes and partitions after fixed delays,
+which are those of the membership measurement.
 """
 
 from collections.abc import AsyncIterator
@@ -21,9 +22,9 @@
 from rhubarblock.standins import memorypeers
 
 DATA_CENTRES = ("osu-hall", "tema-hall", "achimota-hall")
-# Seconds until a death, and a data centre that is cut off, are known.
-DEATH_KNOWN_S = 3.0
-CUT_KNOWN_S = 6.0
+# Seconds until a crash and a partition of a data centre are detected.
+CRASH_DETECTION_S = 3.0
+PARTITION_DETECTION_S = 6.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,10 +33,10 @@
 
     Attributes:
       member: its identity.
-      limiter: what admits its requests.
-      lender: its lending, or None with fixed shares.
-      died_s: time of its death, or infinity.
-      stack: ends what runs on it.
+      limiter: admits its requests.
+      lender: lends and borrows shares of limits; None with fixed shares.
+      died_s: time of its crash, or infinity.
+      stack: stops the parts that run on it.
     """
 
     member: members.Member
@@ -48,10 +49,10 @@
 
 
 class LimitsFleet:
-    """All instances, and what membership would tell them.
+    """All instances, and a model of their membership.
 
     Attributes:
-      nodes: the instances, dead ones too.
+      nodes: the instances, including dead ones.
       network: the network between them.
     """
 
@@ -68,10 +69,10 @@
         Args:
           timers: the timer service.
           catalogue: the catalogue in force everywhere.
-          rng: decides delays on the network.
+          rng: seeds the delays of the network.
           instances: number of instances, spread over three data centres.
           policy: ``lending``; ``static`` for fixed equal shares; or ``alone``,
-            where each instance uses the whole limit.
+            where each instance applies the full limit by itself.
         """
         self._timers = timers
         self._catalogue = catalogue
@@ -101,7 +102,7 @@
         return [node for node in self.nodes if math.isinf(node.died_s)]
 
     async def kill(self, node: Node) -> None:
-        """Lets an instance die."""
+        """Crashes an instance."""
         node.died_s = self._timers.read_monotonic()
         self.network.remove(node.member.address)
         await node.stack.aclose()
@@ -123,12 +124,12 @@
         self.network.cut(inside, outside)
 
     def heal(self) -> None:
-        """Joins the data centres again."""
+        """Ends the partition."""
         self._cut_s = math.inf
         self.network.heal()
 
     def find_coordinator(self, key: str) -> Node:
-        """Returns the instance that coordinates an entry, seen from any."""
+        """Returns the coordinator of a limited entry, as live nodes see it."""
         lender = self.live_nodes[0].lender
         assert lender is not None
         duty = lender.find_shard(key)
@@ -181,22 +182,24 @@
         )
 
     def _list_members(self) -> list[members.Member]:
-        known_s = self._timers.read_monotonic() - DEATH_KNOWN_S
+        """Returns all instances, those whose crash is detected as dead."""
+        detected_before_s = self._timers.read_monotonic() - CRASH_DETECTION_S
         return [
             dataclasses.replace(node.member, state=members.MemberState.DEAD)
-            if node.died_s <= known_s
+            if node.died_s <= detected_before_s
             else node.member
             for node in self.nodes
         ]
 
     def _list_live(self, viewer: members.Member) -> list[members.Member]:
+        """Returns the instances that an instance considers live."""
         now_s = self._timers.read_monotonic()
-        is_cut = now_s - self._cut_s >= CUT_KNOWN_S
+        is_cut = now_s - self._cut_s >= PARTITION_DETECTION_S
         side = viewer.data_centre == self._cut_off
         return [
             node.member
             for node in self.nodes
-            if node.died_s > now_s - DEATH_KNOWN_S
+            if node.died_s > now_s - CRASH_DETECTION_S
             and not (
                 is_cut and (node.member.data_centre == self._cut_off) != side
             )
--- a/rhubarblock/experiments/limits/scenario.py
+++ b/rhubarblock/experiments/limits/scenario.py
@@ -1,9 +1,10 @@
-"""The scenario ``limits``: are limits held over all instances together?
+"""The scenario ``limits``: enforcement of limits across all instances.
 
-One workspace asks for ten times its limit, first evenly everywhere, then at
-one instance alone; then a data centre is cut off, and joined again, and the
-coordinator of the workspace dies. All other workspaces ask for ``load`` times
-their limits. Long prompts come at random instances.
+One workspace offers ten times its limit, first evenly at all instances, then
+at a single one. Later a data centre is partitioned from the others and
+reconnected, and the coordinator of the workspace crashes. All other
+workspaces offer ``load`` times their limits. Long prompts arrive at random
+instances.
 """
 
 import dataclasses
@@ -39,9 +40,9 @@
 _LONG_PER_S = 0.5
 _LONG_RETRIES = 3
 _SAMPLE_S = 0.1
-# Part of the limit that an instance must have for it to count as lent: all
-# but what the other instances keep for their next requests, and rounding.
-_LENT_PART = 0.85
+# Share of the limit at which lending to the busy instance counts as complete.
+# The other instances keep some for their next requests; the rest is rounding.
+_LENT_SHARE = 0.85
 _NEVER_S = math.inf
 
 # Times of the events, in seconds from the start.
@@ -57,28 +58,29 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LimitsResult:
-    """What the scenario measured; parts are of the limit, 1 is all of it.
+    """Results of one run; parts are fractions of the limit.
 
     Attributes:
       scenario: ``limits``.
       policy: one of ``POLICIES``.
       seed: seed of the run.
-      load: offered load of the ordinary workspaces, over their limits.
+      load: offered load of the other workspaces, relative to their limits.
       instances: number of instances.
       admitted: requests admitted.
       refused: requests refused.
-      over_use_max: share over any limit in the worst 10 s, as paid.
-      over_admission_max: the same with each request counted whole at its
+      over_use_max: largest excess over any limit in 10 s, by paid tokens.
+      over_admission_max: the same with all tokens of a request counted at its
         admission.
       share_sum_max: largest sum of the shares of all instances.
-      long_max: most long prompts at one time.
-      long_limit: the limit of them.
-      lent_s: seconds until a single busy instance has what the others leave.
-      relent_s: the same after the coordinator died, from its death.
-      use_even: part of the limit in use with load everywhere.
+      long_max: most long prompts in flight at one time.
+      long_limit: limit on long prompts in flight.
+      lent_s: seconds until the single busy instance has borrowed what the
+        others leave.
+      relent_s: the same after a crash of the coordinator, from the crash on.
+      use_even: part of the limit in use with load at all instances.
       use_moved: part in use with all load at one instance.
-      use_cut: part in use by both sides with a data centre cut off.
-      use_death: part in use in the ten seconds after the coordinator died.
+      use_cut: part in use by both sides during the partition.
+      use_death: part in use in the ten seconds after the coordinator crashed.
       messages_per_s: messages sent and received by an instance a second.
       bytes_per_s: bytes sent and received by an instance a second.
     """
@@ -114,8 +116,8 @@
     """Runs the scenario on the fake clock.
 
     Args:
-      seed: decides arrivals, lengths and delays.
-      load: offered load of the ordinary workspaces, over their limits.
+      seed: seed of arrivals, lengths and delays.
+      load: offered load of the other workspaces, relative to their limits.
       policy: one of ``POLICIES``.
       instances: number of entry instances.
 
@@ -171,10 +173,10 @@
             key: limitsmeter.UseMeter(limits.requests_per_s)
             for key, limits in self._limits.items()
         }
-        # What instances that died owed, in tokens and in requests.
-        self._frozen = dict.fromkeys(self._limits, 0.0)
-        self._frozen_requests = dict.fromkeys(self._limits, 0.0)
-        self._hot: limitsfleet.Node | None = None
+        # Unpaid tokens and requests of crashed instances; they stay unpaid.
+        self._unpaid_tokens_of_dead = dict.fromkeys(self._limits, 0.0)
+        self._unpaid_requests_of_dead = dict.fromkeys(self._limits, 0.0)
+        self._busy_node: limitsfleet.Node | None = None
         self._admitted = 0
         self._refused = 0
         self._share_sum_max = 0.0
@@ -189,7 +191,7 @@
             for step_s, step in (
                 (_MOVE_S, self._move_load),
                 (_EVEN_AGAIN_S, self._spread_load),
-                (_CUT_S, self._cut),
+                (_CUT_S, self._cut_data_centre),
                 (_HEAL_S, self._heal),
                 (_MOVE_AGAIN_S, self._move_load),
                 (_DEATH_S, self._kill_coordinator),
@@ -200,13 +202,13 @@
         return self._build_result()
 
     async def _move_load(self) -> None:
-        """Sends the greedy workspace's whole load to one instance."""
-        self._hot = self._fleet.live_nodes[1]
+        """Sends the greedy workspace's entire load to one instance."""
+        self._busy_node = self._fleet.live_nodes[1]
 
     async def _spread_load(self) -> None:
-        self._hot = None
+        self._busy_node = None
 
-    async def _cut(self) -> None:
+    async def _cut_data_centre(self) -> None:
         self._fleet.cut(limitsfleet.DATA_CENTRES[0])
 
     async def _heal(self) -> None:
@@ -216,12 +218,16 @@
         if self._policy != "lending":
             return
         node = self._fleet.find_coordinator(_GREEDY)
-        if node is self._hot:
-            self._hot = self._fleet.live_nodes[2]
-        # What it admitted ends with it; what it owed is never paid.
-        for key in self._frozen:
-            self._frozen[key] += node.limiter.read_unpaid_tokens(key)
-            self._frozen_requests[key] += node.limiter.read_unpaid_requests(key)
+        if node is self._busy_node:
+            self._busy_node = self._fleet.live_nodes[2]
+        # Its requests end with it, so their unpaid tokens are never paid.
+        for key in self._unpaid_tokens_of_dead:
+            self._unpaid_tokens_of_dead[key] += node.limiter.read_unpaid_tokens(
+                key
+            )
+            self._unpaid_requests_of_dead[key] += (
+                node.limiter.read_unpaid_requests(key)
+            )
         await self._fleet.kill(node)
 
     async def _run_until(self, end_s: float) -> None:
@@ -236,7 +242,7 @@
                 continue
             load = _GREEDY_LOAD if key == _GREEDY else self._load
             rate = load * _WORKSPACE_LIMITS.tokens_per_s / _MEAN_TOKENS
-            for _ in range(self._draw_number(rate * _SAMPLE_S)):
+            for _ in range(self._draw_poisson(rate * _SAMPLE_S)):
                 self._timers.call_later(
                     self._rng.random() * _SAMPLE_S,
                     functools.partial(self._send, key),
@@ -244,7 +250,7 @@
         if self._rng.random() < _LONG_PER_S * _SAMPLE_S:
             self._send_long(_LONG_RETRIES)
 
-    def _draw_number(self, mean: float) -> int:
+    def _draw_poisson(self, mean: float) -> int:
         """Draws from a Poisson distribution."""
         number = 0
         waited = self._rng.expovariate(1.0)
@@ -254,8 +260,8 @@
         return number
 
     def _choose_node(self, key: str) -> limitsfleet.Node:
-        if key == _GREEDY and self._hot is not None:
-            return self._hot
+        if key == _GREEDY and self._busy_node is not None:
+            return self._busy_node
         return self._rng.choice(self._fleet.live_nodes)
 
     def _send(self, key: str) -> None:
@@ -263,7 +269,7 @@
         self._admit(self._choose_node(key), key, tokens, False)
 
     def _send_long(self, retries: int) -> None:
-        """Sends a long prompt, and again while it is refused."""
+        """Sends a long prompt and retries it if it is refused."""
         node = self._rng.choice(self._fleet.live_nodes)
         ticket = self._admit(node, "adwoa/desk-1", _LONG_TOKENS, True)
         if ticket is None:
@@ -307,16 +313,16 @@
         now_s = self._timers.read_monotonic()
         nodes = self._fleet.live_nodes
         for key in self._limits:
-            tokens = self._frozen[key]
-            number = self._frozen_requests[key]
+            tokens = self._unpaid_tokens_of_dead[key]
+            number = self._unpaid_requests_of_dead[key]
             for node in nodes:
                 tokens += node.limiter.read_unpaid_tokens(key)
                 number += node.limiter.read_unpaid_requests(key)
             self._meters[key].sample(now_s, tokens)
             self._request_meters[key].sample(now_s, number)
-        self._watch_shares(now_s)
+        self._sample_shares(now_s)
 
-    def _watch_shares(self, now_s: float) -> None:
+    def _sample_shares(self, now_s: float) -> None:
         if self._policy != "lending":
             return
         for key in self._limits:
@@ -326,16 +332,16 @@
             )
             part = total / limitshare.SHARE_UNITS
             self._share_sum_max = max(self._share_sum_max, part)
-        if self._hot is None:
+        if self._busy_node is None:
             return
-        units = self._read_units(self._hot, _GREEDY, now_s)
-        # The share of an instance that died comes back after the run.
+        units = self._read_units(self._busy_node, _GREEDY, now_s)
+        # The share of a crashed instance is freed only after the run.
         part = len(self._fleet.live_nodes) / len(self._fleet.nodes)
-        if units < _LENT_PART * part * limitshare.SHARE_UNITS:
+        if units < _LENT_SHARE * part * limitshare.SHARE_UNITS:
             return
         if now_s < _EVEN_AGAIN_S:
             self._lent_s = min(self._lent_s, now_s - _MOVE_S)
-        if now_s > _DEATH_S + limitsfleet.DEATH_KNOWN_S:
+        if now_s > _DEATH_S + limitsfleet.CRASH_DETECTION_S:
             self._relent_s = min(self._relent_s, now_s - _DEATH_S)
 
     def _read_units(
@@ -356,25 +362,25 @@
             instances=len(self._fleet.nodes),
             admitted=self._admitted,
             refused=self._refused,
-            over_use_max=round(max(m.find_over_use() for m in meters), 4),
+            over_use_max=round(max(m.compute_over_use() for m in meters), 4),
             over_admission_max=round(
-                max(m.find_over_admission() for m in meters), 4
+                max(m.compute_over_admission() for m in meters), 4
             ),
             share_sum_max=round(self._share_sum_max, 6),
             long_max=self._long_max,
             long_limit=_INSTITUTION_LIMITS.concurrent_long,
             lent_s=_round_time(self._lent_s),
             relent_s=_round_time(self._relent_s),
-            use_even=round(greedy.find_use(_EVEN_S + 5, _MOVE_S), 3),
-            use_moved=round(greedy.find_use(_MOVE_S + 5, _EVEN_AGAIN_S), 3),
-            use_cut=round(greedy.find_use(_CUT_S + 10, _HEAL_S), 3),
-            use_death=round(greedy.find_use(_DEATH_S, _DEATH_S + 10), 3),
+            use_even=round(greedy.compute_use(_EVEN_S + 5, _MOVE_S), 3),
+            use_moved=round(greedy.compute_use(_MOVE_S + 5, _EVEN_AGAIN_S), 3),
+            use_cut=round(greedy.compute_use(_CUT_S + 10, _HEAL_S), 3),
+            use_death=round(greedy.compute_use(_DEATH_S, _DEATH_S + 10), 3),
             messages_per_s=round(messages, 2),
             bytes_per_s=round(size, 1),
         )
 
     def _sum_traffic(self) -> tuple[float, float]:
-        """Returns messages and bytes of an instance a second, on average."""
+        """Returns the mean messages and bytes of an instance a second."""
         if self._policy != "lending":
             return 0.0, 0.0
         traffics = [
--- a/rhubarblock/experiments/loopthread.py
+++ b/rhubarblock/experiments/loopthread.py
@@ -1,7 +1,7 @@
-"""An event loop in a thread of its own, for measurements in one process.
+"""An event loop in its own thread, for measurements in one process.
 
-Threads share one interpreter lock, so times in such a measurement count less
-than those between processes; the processor time of each thread counts alone.
+All threads share the interpreter lock, so wall-clock times are less reliable
+than between processes. Processor time is accounted for each thread alone.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class LoopThread:
-    """A running loop in another thread."""
+    """An event loop that runs in another thread."""
 
     __slots__ = ("_loop",)
 
@@ -25,7 +25,7 @@
         self._loop = loop
 
     async def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Runs a coroutine there and waits for it here."""
+        """Runs a coroutine on that loop and awaits its result here."""
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
         return await asyncio.wrap_future(future)
 
@@ -52,20 +52,21 @@
 
 
 @contextlib.asynccontextmanager
-async def open_there(
+async def open_in_thread(
     thread: LoopThread,
     factory: Callable[[], contextlib.AbstractAsyncContextManager[T]],
 ) -> AsyncIterator[T]:
     """Holds a context open in another thread.
 
-    One task there enters and leaves it, as many contexts demand.
+    A single task of that thread enters and leaves the context, as contexts
+    that use task groups or timeouts require.
 
     Args:
-      thread: where to open it.
-      factory: makes the context; called there.
+      thread: thread to open it in.
+      factory: makes the context; called in that thread.
 
     Yields:
-      What the context yields.
+      The value that the context yields.
     """
     opened: asyncio.Future[T] = asyncio.get_running_loop().create_future()
     here = asyncio.get_running_loop()
@@ -84,7 +85,7 @@
     waiting: list[asyncio.Future[Any]] = [opened, holder]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     if holder.done():
-        # It failed before it was open, and says here why.
+        # The context could not be entered: raises its error here.
         holder.result()
     try:
         yield opened.result()
--- a/rhubarblock/experiments/machine.py
+++ b/rhubarblock/experiments/machine.py
@@ -1,4 +1,4 @@
-"""How fast and how busy the machine of a measurement was."""
+"""Describes the speed and the load of the machine of a measurement."""
 
 import dataclasses
 import os
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Machine:
-    """What figures of processor time have to be read with.
+    """Context for figures of processor time.
 
     Attributes:
-      cores: processors that it shows.
-      load_average: processes that ran or waited in the last minute; others
-        than the measurement's own make its times longer.
-      loop_us: microseconds of a thousand rounds of a plain Python loop, the
-        shortest of a few tries, to compare machines by.
+      cores: number of processors.
+      load_average: load average of the last minute; processes besides the
+        measurement's own lengthen the measured times.
+      loop_us: microseconds for 1,000 iterations of a plain Python loop, the
+        shortest of a few runs, to compare machines.
     """
 
     cores: int
@@ -27,7 +27,7 @@
 
 
 def describe_machine() -> Machine:
-    """Returns the machine as it is now."""
+    """Returns the present speed and load of this machine."""
     shortest_s = min(_time_loop() for _ in range(_TRIES))
     per_thousand = shortest_s / _LOOPS * 1_000
     return Machine(
--- a/rhubarblock/experiments/mixed.py
+++ b/rhubarblock/experiments/mixed.py
@@ -1,8 +1,8 @@
-"""The scenarios ``mixed-adwoa`` and ``mixed-hofbauer``: the brief's measures.
+"""The scenarios ``mixed-adwoa`` and ``mixed-hofbauer``: short and long prompts.
 
-A stream of prompts of very unlike lengths runs through the real routing and
-relay code at the size of a deployment. Times count only after a warm-up, and
-load is a share of ``idle.predict_capacity`` of all engines.
+A stream of prompts of very different lengths runs through the real routing
+and relay code at the size of a deployment. Requests start only after a
+warm-up; load is a share of ``idle.predict_capacity`` of all engines.
 """
 
 from collections.abc import Callable
@@ -29,10 +29,10 @@
     "gt128k": (128_000, 10_000_000),
 }
 WORKSPACES = 10
-# Shares of the workspaces: a few of them are large.
+# Relative load of each workspace: a few of them are large.
 WORKSPACE_SHARES = (8, 6, 4, 1, 1, 1, 1, 1, 1, 1)
 DURATION_S = 60.0
-# How long after the last answer the engines' memory is looked at.
+# Seconds between the last answer and the check for leaked KV memory.
 SETTLE_S = 15.0
 
 ADWOA = simulation.FleetPlan(
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TailPair:
-    """A tail of times and the same tail on an idle fleet, in seconds."""
+    """The 95th percentile of times and that on an idle fleet, in seconds."""
 
     p95: float | None
     p95_idle: float | None
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MixedResult:
-    """What a mixed run measured; times in seconds, gaps in milliseconds."""
+    """Results of a mixed run; times in seconds, gaps in milliseconds."""
 
     scenario: str
     policy: str
@@ -99,8 +99,8 @@
 ) -> catalogues.Catalogue:
     """Returns the catalogue of a deployment, without limits.
 
-    The split of roles is the one of the plan, so that the holder of orders
-    keeps the engines as they are.
+    Its split of roles is that of the plan, so that the order service changes
+    no engine.
     """
     owner = "measurement"
     unlimited = catalogues.Limits()
@@ -147,7 +147,7 @@
 
 
 def choose_rate(plan: simulation.FleetPlan, load: float) -> float:
-    """Returns the requests a second that make up a load."""
+    """Returns the requests a second for a load."""
     capacity = plan.engines * idle.predict_capacity()
     return load * capacity / workload.mean_prompt()
 
@@ -166,7 +166,7 @@
       policy: name of the placement policy.
       seed: decides arrivals, lengths and jitter.
       load: share of the fleet's prefill capacity.
-      duration_s: seconds over which requests come.
+      duration_s: seconds over which requests arrive.
 
     Returns:
       The figures of all requests.
@@ -196,7 +196,7 @@
 def shape_fleet(
     plan: simulation.FleetPlan, policy: str, requests_per_s: float
 ) -> simulation.FleetPlan:
-    """Gives a plan the split of roles that a policy wants for a load."""
+    """Returns a plan with the split of roles that a policy uses for a load."""
     if policy == "naive":
         return dataclasses.replace(plan, decoders=0)
     return dataclasses.replace(
@@ -204,18 +204,19 @@
     )
 
 
-# Answers that one decode engine generates at once without long gaps.
+# Answers that one decode engine can generate concurrently without long gaps.
 DECODES_PER_ENGINE = 10
-# Mean seconds between two tokens of a decode engine that is so used.
+# Mean seconds between two tokens of an answer at that concurrency.
 DECODE_GAP_S = 0.0095
-# The mean of the log-normal output lengths over their median.
+# Ratio of the mean of the log-normal output lengths to their median.
 MEAN_OUTPUT_RATIO = 1.2
 
 
 def choose_decoders(plan: simulation.FleetPlan, requests_per_s: float) -> int:
     """Returns the number of decode engines that a load needs.
 
-    Each data centre has the same number, as its pool is ordered by itself.
+    Each data centre gets the same number, because its pool has a lease holder
+    of its own that assigns the roles.
     """
     tokens_per_s = requests_per_s * workload.MEDIAN_OUTPUT * MEAN_OUTPUT_RATIO
     running = tokens_per_s * DECODE_GAP_S
@@ -232,17 +233,18 @@
     fleet: simulation.Simulation,
 ) -> MixedResult:
     """Returns the figures of a run."""
-    whole = [x for x in fleet.records if is_whole(x)]
+    complete = [x for x in fleet.records if is_complete(x)]
     admitted = [x for x in fleet.records if not is_refused(x)]
-    met = [x for x in whole if x.ended_s <= x.arrival.request.deadline_s]
+    met = [x for x in complete if x.ended_s <= x.arrival.request.deadline_s]
     shorts = [
-        x for x in whole if x.arrival.request.prompt_tokens < SHORT_TOKENS
+        x for x in complete if x.arrival.request.prompt_tokens < SHORT_TOKENS
     ]
-    firsts = [x.sink.first_s - x.arrival.request.arrived_s for x in whole]
+    firsts = [x.sink.first_s - x.arrival.request.arrived_s for x in complete]
     idles = [
-        idle.predict_first_token(x.arrival.request.prompt_tokens) for x in whole
+        idle.predict_first_token(x.arrival.request.prompt_tokens)
+        for x in complete
     ]
-    gaps = [gap * 1_000 for x in whole for gap in x.sink.gaps_s]
+    gaps = [gap * 1_000 for x in complete for gap in x.sink.gaps_s]
     lasted_s = max((x.ended_s for x in fleet.records), default=1.0)
     return MixedResult(
         scenario=scenario,
@@ -250,14 +252,14 @@
         seed=seed,
         load=load,
         admitted=len(admitted),
-        finished=len(whole),
-        failed=len(admitted) - len(whole),
+        finished=len(complete),
+        failed=len(admitted) - len(complete),
         refused=len(fleet.records) - len(admitted),
         lost=sum(1 for x in fleet.records if x.outcome is None),
-        duplicated=sum(1 for x in fleet.records if not x.sink.right),
+        duplicated=sum(1 for x in fleet.records if not x.sink.has_correct_text),
         deadline_met=round(len(met) / max(1, len(admitted)), 5),
-        ttft_s=summarise_bands(whole, measure_first_token),
-        ttft_stretch=summarise_bands(whole, measure_stretch),
+        ttft_s=summarise_bands(complete, measure_first_token),
+        ttft_stretch=summarise_bands(complete, measure_stretch),
         ttft_all=TailPair(
             quantiles.summarise(firsts).p95, quantiles.summarise(idles).p95
         ),
@@ -273,22 +275,22 @@
 
 
 def count_leaked(fleet: simulation.Simulation) -> int:
-    """Returns the tokens of KV memory that the engines still hold."""
+    """Returns the KV cache tokens that the engines still hold."""
     return sum(sum(engine.kv_held().values()) for engine in fleet.cluster)
 
 
-def is_whole(record: simulation.Record) -> bool:
-    """Says whether the caller got the whole right answer."""
+def is_complete(record: simulation.Record) -> bool:
+    """Says whether the caller got the complete and correct answer."""
     wanted = record.arrival.request.max_tokens
     return (
         isinstance(record.outcome, result.Success)
-        and record.sink.right
+        and record.sink.has_correct_text
         and record.sink.tokens == wanted
     )
 
 
 def is_refused(record: simulation.Record) -> bool:
-    """Says whether the request was turned away before it was tried."""
+    """Says whether the request was refused before any attempt."""
     if not isinstance(record.outcome, result.Failure):
         return False
     return record.outcome.failure().code.value in (
@@ -304,7 +306,7 @@
     records: list[simulation.Record],
     measure_one: Callable[[simulation.Record], float],
 ) -> dict[str, quantiles.Quantiles]:
-    """Returns the percentiles of a figure by length band."""
+    """Returns the percentiles of a figure by band of prompt lengths."""
     found = {}
     for band, (low, high) in BANDS.items():
         samples = [
@@ -317,18 +319,18 @@
 
 
 def measure_first_token(record: simulation.Record) -> float:
-    """Returns seconds from arrival to the first token."""
+    """Returns the seconds from arrival to the first token."""
     return record.sink.first_s - record.arrival.request.arrived_s
 
 
 def measure_stretch(record: simulation.Record) -> float:
-    """Returns the time to first token over that on an idle fleet."""
+    """Returns the ratio of the time to first token to that when idle."""
     tokens = record.arrival.request.prompt_tokens
     return measure_first_token(record) / idle.predict_first_token(tokens)
 
 
 def measure_slowdown(record: simulation.Record) -> float:
-    """Returns the whole time over that on an idle fleet."""
+    """Returns the ratio of the total time to that on an idle fleet."""
     request = record.arrival.request
     total_s = record.ended_s - request.arrived_s
     return total_s / idle.predict_total(
--- a/rhubarblock/experiments/neighbour.py
+++ b/rhubarblock/experiments/neighbour.py
@@ -1,7 +1,8 @@
 """The scenario ``noisy-neighbour``: one workspace far over its limit.
 
-The victim sends the same requests twice: alone, and beside a neighbour that
-offers ten times its limit. What the victim feels of it is the measure.
+The victim sends the same requests twice: beside a neighbour that keeps to its
+limit, and beside one that offers ten times its limit. The scenario measures
+the effect on the victim.
 """
 
 import dataclasses
@@ -17,13 +18,13 @@
 DURATION_S = 40.0
 VICTIM_SHARE = 0.6
 NEIGHBOUR_SHARE = 0.15
-# How far the neighbour goes over its limit.
+# Load that the neighbour offers, as a multiple of its limit.
 OVERLOAD = 10.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NeighbourResult:
-    """What the victim felt; slowdowns over an idle fleet, 95th percentile."""
+    """Effect on the victim; slowdowns are relative to an idle fleet."""
 
     scenario: str
     policy: str
@@ -41,7 +42,7 @@
 
 
 def measure(policy: str, seed: int, load: float) -> NeighbourResult:
-    """Runs the scenario on the fake clock, without and with the neighbour.
+    """Runs the scenario on the fake clock, without and with the overload.
 
     Args:
       policy: name of the placement policy.
@@ -64,14 +65,14 @@
         victim_failed=sum(
             1
             for x in victims
-            if not mixed.is_whole(x) and not mixed.is_refused(x)
+            if not mixed.is_complete(x) and not mixed.is_refused(x)
         ),
         neighbour_offered=len(neighbours),
         neighbour_admitted=sum(
             1 for x in neighbours if not mixed.is_refused(x)
         ),
         lost=sum(1 for x in noisy.records if x.outcome is None),
-        duplicated=sum(1 for x in noisy.records if not x.sink.right),
+        duplicated=sum(1 for x in noisy.records if not x.sink.has_correct_text),
         kv_leaked_tokens=mixed.count_leaked(noisy),
     )
 
@@ -141,7 +142,7 @@
     shorts = [
         mixed.measure_slowdown(x)
         for x in records
-        if mixed.is_whole(x)
+        if mixed.is_complete(x)
         and x.arrival.request.prompt_tokens < mixed.SHORT_TOKENS
     ]
     return quantiles.summarise(shorts).p95
--- a/rhubarblock/experiments/overhead/__init__.py
+++ b/rhubarblock/experiments/overhead/__init__.py
@@ -1,5 +1,5 @@
-"""The measurement ``overhead``: what the relay adds, and what it costs.
+"""The measurement ``overhead``: added latency and cost of the relay.
 
-Others use ``measurement``, ``sweep`` and ``threads``. Read on in ``parts``,
-``load`` and ``source``.
+``measurement``, ``sweep``, ``threads`` and ``parts`` are the interface to other
+packages. ``load`` has the callers and ``source`` the token sources.
 """
--- a/rhubarblock/experiments/overhead/load.py
+++ b/rhubarblock/experiments/overhead/load.py
@@ -1,7 +1,7 @@
-"""Callers that open streams at a steady rate, and what they see.
+"""Callers that open streams at a steady rate and record their answers.
 
-The same callers go to the token sources directly and through an instance. Each
-keeps when its data came, so that the two can be compared.
+The same callers send to the token sources directly and through an instance.
+Each records when its data arrived, so that the two paths can be compared.
 """
 
 import abc
@@ -23,24 +23,25 @@
 
 BYTES_PER_TOKEN = 4
 DEADLINE_S = "120"
-# One stream in so many has its whole text compared, not only counted.
+# The full text is checked for one stream in this many; for the others only the
+# number of tokens.
 CHECK_EVERY = 8
-# Each token of the source starts so, and nothing else in an event does.
+# Each token of the source starts with this, and nothing else in an event does.
 _TOKEN_START = b" 0"
 _DONE = b"data: [DONE]"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LoadPlan:
-    """What the callers do.
+    """Load of the callers.
 
     Attributes:
       requests_per_s: streams opened a second, evenly spaced.
       tokens: tokens of each answer.
       prompt_tokens: length of each prompt; 0 draws lengths from the workload.
-      warm_s: seconds before anything counts.
-      window_s: seconds that count.
-      seed: decides the drawn lengths.
+      warm_s: length of the warm-up in seconds.
+      window_s: length of the measured window in seconds.
+      seed: seed of the drawn lengths.
     """
 
     requests_per_s: float
@@ -60,16 +61,16 @@
     headers: dict[str, str]
 
 
-class Way(abc.ABC):
-    """Where the callers send their requests."""
+class DataPath(abc.ABC):
+    """The path by which callers reach the token sources."""
 
     @abc.abstractmethod
     def make_call(self, prompt: bytes, tokens: int) -> Call:
         """Returns the request for a prompt of plain ASCII letters."""
 
 
-class DirectWay(Way):
-    """Straight to the token sources, in turns."""
+class DirectPath(DataPath):
+    """Directly to the token sources, in turn."""
 
     def __init__(self, addresses: tuple[str, ...]):
         self._addresses = itertools.cycle(addresses)
@@ -93,8 +94,8 @@
         return Call(url, body, {"Content-Type": "application/json"})
 
 
-class EntryWay(Way):
-    """Through an instance, as callers do."""
+class EntryPath(DataPath):
+    """Through an entry instance."""
 
     def __init__(self, address: str):
         self._url = f"http://{address}/v1/completions"
@@ -115,23 +116,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """What one caller saw; times are monotonic seconds.
+    """One stream as its caller saw it; times are in monotonic seconds.
 
     Attributes:
       sent_s: when the request was sent.
       prompt_tokens: length of the prompt.
-      came_s: when data came, for each piece.
-      tokens: tokens received.
-      whole: whether the end mark came.
-      right: whether the text was the right one, where it was compared.
+      arrived_s: arrival time of each piece of data.
+      tokens: number of received tokens.
+      complete: whether the end mark arrived.
+      has_correct_text: whether the text was correct, if it was checked.
     """
 
     sent_s: float
     prompt_tokens: int
-    came_s: list[float] = dataclasses.field(default_factory=list)
+    arrived_s: list[float] = dataclasses.field(default_factory=list)
     tokens: int = 0
-    whole: bool = False
-    right: bool = True
+    complete: bool = False
+    has_correct_text: bool = True
 
 
 class Load:
@@ -144,20 +145,20 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        way: Way,
+        path: DataPath,
         plan: LoadPlan,
         timers: timer_service.Timers,
     ):
         """Creates the callers.
 
         Args:
-          session: connections, as many as are needed.
-          way: where to send.
-          plan: what to send.
+          session: HTTP session without a limit on connections.
+          path: path to the token sources.
+          plan: load to send.
           timers: timer service.
         """
         self._session = session
-        self._way = way
+        self._path = path
         self._plan = plan
         self._timers = timers
         self._tasks: set[asyncio.Task[None]] = set()
@@ -174,7 +175,7 @@
             if due_s >= end_s:
                 return
             due_s += 1.0 / self._plan.requests_per_s
-            call = self._way.make_call(prompt, self._plan.tokens)
+            call = self._path.make_call(prompt, self._plan.tokens)
             length = len(prompt) // BYTES_PER_TOKEN
             task = asyncio.ensure_future(self._run(call, length, number))
             self._tasks.add(task)
@@ -196,19 +197,21 @@
                 call.url, data=call.body, headers=call.headers
             ) as response:
                 async for data in response.content.iter_any():
-                    stream.came_s.append(read_monotonic())
+                    stream.arrived_s.append(read_monotonic())
                     stream.tokens += data.count(_TOKEN_START)
-                    stream.whole = stream.whole or _DONE in data
+                    stream.complete = stream.complete or _DONE in data
                     if keep:
                         kept.append(data)
         except aiohttp.ClientError:
-            stream.whole = False
+            stream.complete = False
         if keep:
-            stream.right = is_right(b"".join(kept), self._plan.tokens)
+            stream.has_correct_text = is_text_correct(
+                b"".join(kept), self._plan.tokens
+            )
 
 
-def is_right(data: bytes, tokens: int) -> bool:
-    """Says whether events hold the whole text of an answer, in order."""
+def is_text_correct(data: bytes, tokens: int) -> bool:
+    """Says whether events contain the complete text of an answer, in order."""
     text = ""
     for event in data.split(b"\n\n"):
         payload = event.removeprefix(b"data: ")
@@ -221,7 +224,7 @@
 
 
 def _make_prompts(plan: LoadPlan) -> Iterator[bytes]:
-    """Yields prompts without end, no two of which are the same."""
+    """Yields an endless sequence of distinct prompts."""
     rng = random.Random(plan.seed)
     for number in itertools.count():
         tokens = plan.prompt_tokens or workload.draw_prompt(rng)
--- a/rhubarblock/experiments/overhead/measurement.py
+++ b/rhubarblock/experiments/overhead/measurement.py
@@ -1,9 +1,9 @@
-"""The measurement ``overhead``: what the relay adds, and what it costs.
+"""The measurement ``overhead``: added latency and cost of the relay.
 
-Callers open streams over real sockets, directly at the token sources and
-through an instance, in turns in one run. Two ways through are compared: the
-present one, and the earlier one that parses every event and writes every
-token by itself, which is kept as the baseline.
+Callers open streams over real sockets, in turn directly at the token sources
+and through an instance. Two implementations of streaming are compared: the
+product's, and a baseline (``earlier``) that parses every event and writes each
+token separately.
 """
 
 import abc
@@ -20,11 +20,11 @@
 from rhubarblock.kernel import timers as timer_service
 
 SCENARIO = "overhead"
-# A node's share of the two-year size: 31,000 requests and 12 million tokens a
+# A node's share of the target size: 31,000 requests and 12 million tokens a
 # second over 370 nodes.
 REQUESTS_PER_S = 84.0
 TOKENS_PER_S = 32_500.0
-# An iteration of the stand-in engine at some 40 running answers.
+# Iteration time of the stand-in engine with about 40 running answers.
 GAP_S = 0.012
 # Prompts shorter than this count as short in the figures.
 SHORT_TOKENS = 8_000
@@ -34,16 +34,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OverheadPlan:
-    """What is measured.
+    """Parameters of a run.
 
     Attributes:
       requests_per_s: streams opened a second.
       tokens_per_s: tokens a second over all streams.
       gap_s: seconds between two tokens of a stream at the source.
-      prompt_tokens: length of each prompt; 0 draws them from the workload.
-      rounds: turns that each way gets.
-      window_s: seconds of each turn that count.
-      settle_s: seconds before that, beside those that a stream lasts.
+      prompt_tokens: length of each prompt; 0 draws lengths from the workload.
+      rounds: number of turns of each path.
+      window_s: measured seconds of each turn.
+      settle_s: seconds of warm-up besides the duration of one stream.
     """
 
     requests_per_s: float = REQUESTS_PER_S
@@ -60,9 +60,9 @@
         return max(2, round(self.tokens_per_s / self.requests_per_s))
 
     def make_load(self, number: int) -> overheadload.LoadPlan:
-        """Returns what the callers do in one round.
+        """Returns the load of one round.
 
-        The warm-up lasts until as many streams end as begin.
+        The warm-up lasts until the number of open streams is steady.
         """
         return overheadload.LoadPlan(
             requests_per_s=self.requests_per_s,
@@ -75,7 +75,7 @@
 
 
 class Meter(abc.ABC):
-    """Reads what an instance uses of the machine."""
+    """Reads the resource usage of an instance."""
 
     @abc.abstractmethod
     async def read_cpu(self) -> float:
@@ -87,13 +87,13 @@
 
 
 class ProcessMeter(Meter):
-    """Reads a process by its id, as Linux shows it."""
+    """Reads the resource usage of a process from Linux's ``/proc``."""
 
     def __init__(self, pid: int):
         self._folder = pathlib.Path("/proc") / str(pid)
 
     async def read_cpu(self) -> float:
-        # The name in brackets may hold spaces, so fields count from its end.
+        # The process name in brackets may contain spaces, so it is cut off.
         fields = (self._folder / "stat").read_text().rpartition(")")[2].split()
         user, system = int(fields[11]), int(fields[12])
         return (user + system) / os.sysconf("SC_CLK_TCK")
@@ -111,7 +111,7 @@
 
     Attributes:
       address: ``host:port`` for callers.
-      meter: reads what it uses.
+      meter: reads its resource usage.
     """
 
     address: str
@@ -120,12 +120,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Targets:
-    """All that the callers go to.
+    """Everything that the callers send to.
 
     Attributes:
       engines: addresses of the token sources.
       present: the product.
-      earlier: the way that is kept as the baseline.
+      earlier: the baseline.
     """
 
     engines: tuple[str, ...]
@@ -135,7 +135,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Tails:
-    """Median and tail of some times, in milliseconds."""
+    """Median and 99th percentile of some times, in milliseconds."""
 
     p50: float
     p99: float
@@ -143,14 +143,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DirectFigures:
-    """What callers saw without an instance between.
+    """Figures of the direct path.
 
     Attributes:
-      answers: streams that ended.
-      wrong: those that were not whole and right.
+      answers: number of streams.
+      wrong: streams that were incomplete or had a wrong text.
       ttft_ms: time to the first token.
       gap_ms: time between two pieces of one stream.
-      answer_s: mean seconds of a whole answer.
+      answer_s: mean duration of an answer in seconds.
     """
 
     answers: int
@@ -162,22 +162,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PathFigures:
-    """What an instance added and used.
+    """Added latency and resource usage of an instance.
 
     Attributes:
-      answers: streams that ended.
-      wrong: those that were not whole and right.
-      added_ttft_ms: time to the first token over that of the direct way, each
-        quantile less the same quantile.
+      answers: number of streams.
+      wrong: streams that were incomplete or had a wrong text.
+      added_ttft_ms: quantiles of the time to the first token, minus those of
+        the direct path.
       added_short_ttft_ms: the same for short prompts.
-      added_gap_ms: time between two pieces over that of the direct way.
+      added_gap_ms: quantiles of the time between two pieces of one stream,
+        minus those of the direct path.
       gap_ms: time between two pieces of one stream.
-      tokens_per_piece: tokens that a caller got at a time.
-      requests_per_s_core: requests a second for each core used.
-      tokens_per_s_core: tokens a second for each core used.
+      tokens_per_piece: mean tokens in a piece that a caller received.
+      requests_per_s_core: requests a second per core used.
+      tokens_per_s_core: tokens a second per core used.
       cpu_share: share of a core that was used.
-      rss_mb: resident memory in MiB at the end.
-      ratio_direct: mean time of a whole answer over that of the direct way.
+      rss_mb: highest resident memory in MiB at the end of a turn.
+      ratio_direct: mean duration of an answer relative to the direct path.
     """
 
     answers: int
@@ -200,11 +201,11 @@
 
     Attributes:
       scenario: name of the measurement.
-      plan: what was measured.
-      machine: where it ran, and how busy that was.
-      direct: without an instance.
-      present: through the product.
-      earlier: through the baseline.
+      plan: parameters of the run.
+      machine: the machine on which it ran, and its load.
+      direct: figures of the direct path.
+      present: figures of the product.
+      earlier: figures of the baseline.
     """
 
     scenario: str
@@ -216,8 +217,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """What all turns of one way gave."""
+class _Samples:
+    """Measurements of all turns of one path.
+
+    Attributes:
+      wanted: tokens of a complete answer.
+      streams: streams that were opened within the windows.
+      gaps_s: times between two pieces of one stream.
+      tokens: tokens received within the windows.
+      cpu_s: processor seconds used within the windows.
+      window_s: length of all windows.
+      rss_mb: highest resident memory in MiB.
+    """
 
     wanted: int
     streams: list[overheadload.Stream] = dataclasses.field(default_factory=list)
@@ -229,17 +240,17 @@
 
 
 async def measure(plan: OverheadPlan, targets: Targets) -> OverheadResult:
-    """Runs all ways in turns.
+    """Measures all paths in turn.
 
     Args:
-      plan: what to measure.
+      plan: parameters of the run.
       targets: running sources and instances.
 
     Returns:
       The figures of all turns together.
     """
     timers = timer_service.LoopTimers()
-    direct, present, earlier = (_Seen(plan.tokens) for _ in range(3))
+    direct, present, earlier = (_Samples(plan.tokens) for _ in range(3))
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None)
     async with aiohttp.ClientSession(
@@ -247,14 +258,16 @@
     ) as session:
         for number in range(plan.rounds):
             load_plan = plan.make_load(number)
-            turns: tuple[tuple[_Seen, overheadload.Way, Meter | None], ...] = (
-                (direct, overheadload.DirectWay(targets.engines), None),
+            turns: tuple[
+                tuple[_Samples, overheadload.DataPath, Meter | None], ...
+            ] = (
+                (direct, overheadload.DirectPath(targets.engines), None),
                 _make_turn(earlier, targets.earlier),
                 _make_turn(present, targets.present),
             )
-            for seen, way, meter in turns:
-                load = overheadload.Load(session, way, load_plan, timers)
-                await _run_turn(load, load_plan, seen, meter, timers)
+            for samples, path, meter in turns:
+                load = overheadload.Load(session, path, load_plan, timers)
+                await _run_turn(load, load_plan, samples, meter, timers)
     base = _summarise_direct(direct)
     return OverheadResult(
         SCENARIO,
@@ -267,19 +280,19 @@
 
 
 def _make_turn(
-    seen: _Seen, target: Target
-) -> tuple[_Seen, overheadload.Way, Meter]:
-    return seen, overheadload.EntryWay(target.address), target.meter
+    samples: _Samples, target: Target
+) -> tuple[_Samples, overheadload.DataPath, Meter]:
+    return samples, overheadload.EntryPath(target.address), target.meter
 
 
 async def _run_turn(
     load: overheadload.Load,
     plan: overheadload.LoadPlan,
-    seen: _Seen,
+    samples: _Samples,
     meter: Meter | None,
     timers: timer_service.Timers,
 ) -> None:
-    """Runs one turn and adds what its window gave."""
+    """Runs one turn and adds the measurements of its window."""
     start_s = timers.read_monotonic() + plan.warm_s
     end_s = start_s + plan.window_s
     marks: list[tuple[float, float]] = []
@@ -296,89 +309,93 @@
 
     await asyncio.gather(load.send_until(end_s), mark_window())
     if meter:
-        seen.rss_mb = max(seen.rss_mb, meter.read_rss())
+        samples.rss_mb = max(samples.rss_mb, meter.read_rss())
     await load.wait()
     (begun_s, cpu_before), (ended_s, cpu_after) = marks
-    seen.cpu_s += cpu_after - cpu_before
-    seen.window_s += ended_s - begun_s
-    _add_streams(load.streams, begun_s, ended_s, seen)
+    samples.cpu_s += cpu_after - cpu_before
+    samples.window_s += ended_s - begun_s
+    _add_streams(load.streams, begun_s, ended_s, samples)
 
 
 def _add_streams(
     streams: list[overheadload.Stream],
     begun_s: float,
     ended_s: float,
-    seen: _Seen,
+    samples: _Samples,
 ) -> None:
     for stream in streams:
-        came_s = stream.came_s
-        inside = [x for x in came_s if begun_s <= x < ended_s]
-        # The tokens of a piece are not kept, so they count by its share.
-        seen.tokens += round(stream.tokens * len(inside) / max(1, len(came_s)))
-        seen.gaps_s += [
+        arrived_s = stream.arrived_s
+        inside = [x for x in arrived_s if begun_s <= x < ended_s]
+        # The tokens of each piece are not recorded, so this takes their mean.
+        samples.tokens += round(
+            stream.tokens * len(inside) / max(1, len(arrived_s))
+        )
+        samples.gaps_s += [
             later - earlier
             for earlier, later in zip(inside, inside[1:], strict=False)
         ]
         if begun_s <= stream.sent_s < ended_s:
-            seen.streams.append(stream)
+            samples.streams.append(stream)
 
 
-def _summarise_direct(seen: _Seen) -> DirectFigures:
+def _summarise_direct(samples: _Samples) -> DirectFigures:
     return DirectFigures(
-        len(seen.streams),
-        _count_wrong(seen),
-        _summarise(_list_firsts(seen.streams)),
-        _summarise(seen.gaps_s),
-        round(_mean_answer(seen), 4),
+        len(samples.streams),
+        _count_wrong(samples),
+        _summarise(_list_firsts(samples.streams)),
+        _summarise(samples.gaps_s),
+        round(_compute_mean_answer(samples), 4),
     )
 
 
 def _summarise_path(
-    seen: _Seen, direct: _Seen, base: DirectFigures
+    samples: _Samples, direct: _Samples, base: DirectFigures
 ) -> PathFigures:
-    cpu_share = seen.cpu_s / seen.window_s
-    gap_ms = _summarise(seen.gaps_s)
-    pieces = sum(len(x.came_s) for x in seen.streams)
+    cpu_share = samples.cpu_s / samples.window_s
+    gap_ms = _summarise(samples.gaps_s)
+    pieces = sum(len(x.arrived_s) for x in samples.streams)
     return PathFigures(
-        answers=len(seen.streams),
-        wrong=_count_wrong(seen),
+        answers=len(samples.streams),
+        wrong=_count_wrong(samples),
         added_ttft_ms=_subtract(
-            _summarise(_list_firsts(seen.streams)), base.ttft_ms
+            _summarise(_list_firsts(samples.streams)), base.ttft_ms
         ),
         added_short_ttft_ms=_subtract(
-            _summarise(_list_firsts(_list_short(seen))),
+            _summarise(_list_firsts(_list_short(samples))),
             _summarise(_list_firsts(_list_short(direct))),
         ),
         added_gap_ms=_subtract(gap_ms, base.gap_ms),
         gap_ms=gap_ms,
         tokens_per_piece=round(
-            sum(x.tokens for x in seen.streams) / max(1, pieces), 2
+            sum(x.tokens for x in samples.streams) / max(1, pieces), 2
         ),
-        requests_per_s_core=round(len(seen.streams) / seen.cpu_s, 1),
-        tokens_per_s_core=round(seen.tokens / seen.cpu_s),
+        requests_per_s_core=round(len(samples.streams) / samples.cpu_s, 1),
+        tokens_per_s_core=round(samples.tokens / samples.cpu_s),
         cpu_share=round(cpu_share, 4),
-        rss_mb=round(seen.rss_mb, 1),
-        ratio_direct=round(_mean_answer(seen) / base.answer_s, 4),
+        rss_mb=round(samples.rss_mb, 1),
+        ratio_direct=round(_compute_mean_answer(samples) / base.answer_s, 4),
     )
 
 
-def _list_short(seen: _Seen) -> list[overheadload.Stream]:
-    return [x for x in seen.streams if x.prompt_tokens < SHORT_TOKENS]
+def _list_short(samples: _Samples) -> list[overheadload.Stream]:
+    return [x for x in samples.streams if x.prompt_tokens < SHORT_TOKENS]
 
 
 def _list_firsts(streams: list[overheadload.Stream]) -> list[float]:
-    return [x.came_s[0] - x.sent_s for x in streams if x.came_s]
+    return [x.arrived_s[0] - x.sent_s for x in streams if x.arrived_s]
 
 
-def _mean_answer(seen: _Seen) -> float:
-    lengths = [x.came_s[-1] - x.sent_s for x in seen.streams if x.came_s]
+def _compute_mean_answer(samples: _Samples) -> float:
+    lengths = [
+        x.arrived_s[-1] - x.sent_s for x in samples.streams if x.arrived_s
+    ]
     return sum(lengths) / max(1, len(lengths))
 
 
-def _count_wrong(seen: _Seen) -> int:
+def _count_wrong(samples: _Samples) -> int:
     return sum(
-        not (x.whole and x.right and x.tokens == seen.wanted)
-        for x in seen.streams
+        not (x.complete and x.has_correct_text and x.tokens == samples.wanted)
+        for x in samples.streams
     )
 
 
--- a/rhubarblock/experiments/overhead/measurement_test.py
+++ b/rhubarblock/experiments/overhead/measurement_test.py
@@ -26,7 +26,7 @@
     return b"data: " + json.dumps(fields).encode() + b"\n\n"
 
 
-def test_both_ways_give_every_caller_its_whole_answer():
+def test_all_paths_give_every_caller_its_complete_answer():
     async def main():
         async with overheadthreads.open_targets(2, PLAN.gap_s) as targets:
             return await overhead.measure(PLAN, targets)
@@ -46,7 +46,7 @@
     )
 
 
-def test_a_sweep_fits_what_requests_and_tokens_cost(monkeypatch):
+def test_sweep_fits_the_costs_of_requests_and_tokens(monkeypatch):
     async def measure(plan, targets):
         share = 0.1 + 0.003 * plan.requests_per_s + 6e-5 * plan.tokens_per_s
         direct = overhead.DirectFigures(10, 0, None, None, 1.0)
@@ -71,15 +71,15 @@
         (b'data: {"error":{}}\n\n', False),
     ],
 )
-def test_a_text_is_right_only_whole_and_in_order(data, right):
-    assert overheadload.is_right(data, 2) is right
+def test_text_is_right_only_if_complete_and_in_order(data, right):
+    assert overheadload.is_text_correct(data, 2) is right
 
 
-def test_the_source_numbers_its_tokens():
+def test_source_numbers_its_tokens():
     assert overheadsource.make_text(3) == " 000000 000001 000002"
 
 
-def test_a_process_is_read_as_the_system_shows_it():
+def test_process_meter_reads_this_process():
     meter = overhead.ProcessMeter(os.getpid())
     assert asyncio.run(meter.read_cpu()) > 0
     assert meter.read_rss() > 1.0
--- a/rhubarblock/experiments/overhead/parts.py
+++ b/rhubarblock/experiments/overhead/parts.py
@@ -1,8 +1,8 @@
-"""The two ends of the measurement of the relay: surroundings and instance.
+"""The parts of the relay measurement: its environment and the instance.
 
-The surroundings are a stand-in platform and cheap token sources; the instance
-is the whole daemon behind its sockets. Each runs in a process of its own, or
-in a thread of its own when one process has to do.
+The environment is a stand-in platform and cheap token sources; the instance is
+the complete daemon behind its sockets. Each runs in its own process, or in its
+own thread if everything runs in one process.
 """
 
 from collections.abc import AsyncIterator
@@ -33,16 +33,16 @@
 DATA_CENTRE = "osu-hall"
 SECRET = "measurement"
 LIST_LAG_S = 0.2
-# A node's share of the servers of the two-year size: 5,800 over 370.
+# A node's share of the servers of the target size: 5,800 over 370 nodes.
 ENGINES = 16
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Surroundings:
-    """What an instance meets.
+class Environment:
+    """The environment of an instance.
 
     Attributes:
-      platform_url: the stand-in platform.
+      platform_url: URL of the stand-in platform.
       engines: addresses of the token sources.
     """
 
@@ -53,7 +53,7 @@
 @contextlib.asynccontextmanager
 async def run_surroundings(
     engines: int, gap_s: float, port: int = 0
-) -> AsyncIterator[Surroundings]:
+) -> AsyncIterator[Environment]:
     """Runs platform and token sources while the context is open.
 
     Args:
@@ -62,7 +62,7 @@
       port: port of the platform; 0 takes a free one.
 
     Yields:
-      Where they are.
+      Their addresses.
     """
     timers = timer_service.LoopTimers()
     store = platform.MemoryStore(timers, random.Random(1))
@@ -96,7 +96,7 @@
             platformserver.run_server(store, listed, port=port)
         )
         await timers.sleep(LIST_LAG_S)
-        yield Surroundings(url, tuple(addresses))
+        yield Environment(url, tuple(addresses))
 
 
 def make_catalogue() -> catalogues.Catalogue:
@@ -151,10 +151,10 @@
     """Runs an instance on real sockets while the context is open.
 
     Args:
-      platform_url: the stand-in platform.
+      platform_url: URL of the stand-in platform.
       name: name of the instance.
-      streaming: how it passes streams on; None for the product's way.
-      port: where callers connect; 0 takes a free one.
+      streaming: how it relays streams; None for the product's defaults.
+      port: port for callers; 0 takes a free one.
 
     Yields:
       The running instance.
--- a/rhubarblock/experiments/overhead/source.py
+++ b/rhubarblock/experiments/overhead/source.py
@@ -1,9 +1,9 @@
-"""A cheap source of tokens that speaks the engines' protocol.
+"""A cheap token source that speaks the engines' protocol.
 
-The stand-in engine computes batches, memory and faults, and takes more of the
-processor than the relay that is to be measured. This one only sends events at
-a steady pace, written as docs/standins.md tells: all streams of one engine get
-their tokens together, once an iteration.
+The stand-in engine models batches, memory and faults, and so uses more
+processor time than the relay under measurement. This source only sends events
+at a steady rate, in the format of docs/standins.md. All streams of one engine
+get their tokens together, once an iteration.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from rhubarblock.standins.engine import server as engineserver
 from rhubarblock.standins.engine import sse as enginesse
 
-# Room for every stream that a measurement may open at one engine.
+# Large enough for all streams that a measurement opens at one engine.
 KV_CAPACITY = 4_000_000
 CREATED = 1_800_000_000
 _JSON = "application/json"
@@ -32,7 +32,7 @@
 
 
 def make_text(tokens: int) -> str:
-    """Returns the text of a whole answer."""
+    """Returns the text of a complete answer."""
     return "".join(map(make_token, range(tokens)))
 
 
@@ -40,7 +40,7 @@
     """One answer that is being sent.
 
     Attributes:
-      ended: set once all its tokens were sent, or the reader went away.
+      ended: set when all its tokens were sent.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         self.ended = asyncio.Event()
 
     def make_event(self) -> bytes:
-        """Returns the next event, the last one with the end mark."""
+        """Returns the next event; the last one includes the end mark."""
         index = self._index
         self._index += 1
         end = self._index >= self._attempt.max_tokens
@@ -80,7 +80,10 @@
         return self._writer.write(chunk) + self._writer.write_done()
 
     def send(self) -> None:
-        """Sends the next event past the HTTP library, which costs less."""
+        """Writes the next event to the transport directly.
+
+        Bypassing the HTTP library saves processor time.
+        """
         event = self.make_event()
         if self._chunked:
             event = b"%x\r\n%b\r\n" % (len(event), event)
@@ -115,7 +118,7 @@
         return app
 
     async def iterate(self) -> None:
-        """Sends tokens at a steady pace until cancelled."""
+        """Sends tokens at a steady rate until cancelled."""
         due_s = self._timers.read_monotonic()
         while True:
             due_s += self._gap_s
@@ -178,7 +181,7 @@
       timers: timer service.
 
     Yields:
-      The address, ``host:port``.
+      Its address, ``host:port``.
     """
     engine = TokenEngine(name, gap_s, timers)
     runner = web.AppRunner(
--- a/rhubarblock/experiments/overhead/sweep.py
+++ b/rhubarblock/experiments/overhead/sweep.py
@@ -1,7 +1,7 @@
-"""What the relay costs at several loads, and the slopes of it.
+"""Measures the cost of the relay at several loads and fits its slopes.
 
-One request costs the same whatever the load, and so does one token, as long
-as the instance keeps up; a sum of both gives the cost at any load.
+The model is linear: as long as the instance is not overloaded, each request
+and each token has a constant cost.
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 from rhubarblock.experiments.overhead import measurement as overhead
 
 SCENARIO = "relay"
-# Requests a second and tokens a second of each measured load.
+# Requests and tokens a second of each measured load.
 LOADS = (
     (5.0, 10.0),
     (20.0, 40.0),
@@ -39,10 +39,10 @@
     targets: overhead.Targets,
     loads: Sequence[tuple[float, float]] = LOADS,
 ) -> capacity.CapacityResult:
-    """Measures both ways at each load.
+    """Measures both implementations at each load.
 
     Args:
-      plan: everything but the load.
+      plan: parameters of a run, except for the load.
       targets: running sources and instances.
       loads: requests and tokens a second.
 
@@ -55,7 +55,7 @@
             plan, requests_per_s=requests_per_s, tokens_per_s=tokens_per_s
         )
         found = await overhead.measure(run_plan, targets)
-        # The answers have whole tokens.
+        # The tokens of an answer are rounded, which changes the rate.
         sizes = {
             "requests_per_s": requests_per_s,
             "tokens_per_s": requests_per_s * run_plan.tokens,
--- a/rhubarblock/experiments/overhead/threads.py
+++ b/rhubarblock/experiments/overhead/threads.py
@@ -1,7 +1,7 @@
-"""The whole measurement of the relay in one process, in three threads.
+"""Runs the relay measurement in one process, in three threads.
 
-Sources and callers share one thread, each instance has one of its own. It is
-for a quick look and for tests: see ``loopthread`` for what its times are worth.
+Sources and callers share one thread; each instance has its own. This is for
+quick runs and for tests; see ``loopthread`` for the accuracy of its times.
 """
 
 from collections.abc import AsyncIterator
@@ -42,29 +42,29 @@
 async def open_targets(
     engines: int, gap_s: float
 ) -> AsyncIterator[overhead.Targets]:
-    """Runs sources here and both instances in threads.
+    """Runs the sources in this thread and both instances in other threads.
 
     Args:
       engines: number of token sources.
       gap_s: seconds between two tokens of a stream.
 
     Yields:
-      What the callers go to.
+      The running sources and instances.
     """
     async with contextlib.AsyncExitStack() as stack:
-        around = await stack.enter_async_context(
+        environment = await stack.enter_async_context(
             overheadparts.run_surroundings(engines, gap_s)
         )
         targets = [
             await stack.enter_async_context(
-                _open_target(around.platform_url, name, streaming)
+                _open_target(environment.platform_url, name, streaming)
             )
             for name, streaming in (
                 ("present", None),
                 ("earlier", httpengine.StreamSettings()),
             )
         ]
-        yield overhead.Targets(around.engines, targets[0], targets[1])
+        yield overhead.Targets(environment.engines, targets[0], targets[1])
 
 
 @contextlib.asynccontextmanager
@@ -73,7 +73,7 @@
 ) -> AsyncIterator[overhead.Target]:
     async with (
         loopthread.open_thread(f"{name}-{os.getpid()}") as thread,
-        loopthread.open_there(
+        loopthread.open_in_thread(
             thread, lambda: overheadparts.run_entry(url, name, streaming)
         ) as running,
     ):
--- a/rhubarblock/experiments/platform/__init__.py
+++ b/rhubarblock/experiments/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The users' deployments on modelled engines.
+"""Simulates placement policies on modelled engines of the users' deployments.
 
-Others use ``play``; ``mix`` has the kinds of requests and the waves of load.
+``play`` is the interface to other packages; ``mix`` defines the deployments
+and draws the requests.
 """
--- a/rhubarblock/experiments/platform/mix.py
+++ b/rhubarblock/experiments/platform/mix.py
@@ -1,8 +1,9 @@
-"""The users' deployments: kinds of requests, engines, and waves of load.
+"""The users' deployments: kinds of requests, engines and waves of load.
 
-Figures are those of the sheets, at the share at which they are played. Lengths
-are drawn from a lognormal distribution whose logarithm has the sheet's spread
-as its deviation; how the users draw them is not published.
+The figures are those of the users' specification sheets, scaled to the share
+of the deployment that is simulated. How the users draw lengths is not
+published; here lengths are log-normal, with the spread of the sheet as the
+standard deviation of the logarithm.
 """
 
 import dataclasses
@@ -15,12 +16,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Lengths:
-    """A distribution of lengths.
+    """A log-normal distribution of lengths with an upper bound.
 
     Attributes:
-      mean: mean before the bound.
-      spread: deviation of the logarithm.
-      most: longest.
+      mean: mean without the bound.
+      spread: standard deviation of the logarithm.
+      most: upper bound.
     """
 
     mean: float
@@ -28,9 +29,9 @@
     most: float
 
     def draw(self, rng: random.Random) -> int:
-        """Returns one length, 1 at the least."""
-        middle = math.log(self.mean) - self.spread**2 / 2
-        drawn = rng.lognormvariate(middle, self.spread)
+        """Draws one length, at least 1."""
+        mu = math.log(self.mean) - self.spread**2 / 2
+        drawn = rng.lognormvariate(mu, self.spread)
         return max(1, round(min(self.most, drawn)))
 
 
@@ -39,15 +40,15 @@
     """A kind of request.
 
     Attributes:
-      name: as on the sheet.
+      name: its name on the sheet.
       per_s: requests a second.
       prompt: lengths of prompts in tokens.
       events: lengths of answers in events.
-      objective_s: time to the first event that is on time.
-      pause_s: longest pause between events that is on time.
-      worth: what an answer in time is worth, and a late one.
-      late_worth: see ``worth``.
-      event_tokens: tokens of an event of its answers: those of a stride.
+      objective_s: objective for the time to the first event, in seconds.
+      pause_s: objective for the longest pause between events, in seconds.
+      worth: value of an answer that meets both objectives.
+      late_worth: value of a later answer.
+      event_tokens: tokens of one event, which are those of a stride.
     """
 
     name: str
@@ -68,12 +69,12 @@
     Attributes:
       name: name of the scenario.
       kinds: short, middle and long requests, in this order.
-      engines: engines of each data centre.
-      instances: instances of each data centre.
-      model: costs of an engine.
-      cross_s: way between data centres, in seconds.
-      link_bps: link of an instance in bits a second.
-      engines_each: engines that an instance uses, as in the product.
+      engines: number of engines in each data centre.
+      instances: number of instances in each data centre.
+      model: cost model of an engine.
+      cross_s: one-way latency between data centres in seconds.
+      link_bps: bandwidth of an instance's link in bits a second.
+      engines_each: size of the subset of engines that an instance uses.
     """
 
     name: str
@@ -86,8 +87,8 @@
     engines_each: int = subsets.SUBSET_SIZE
 
 
-# Factors of the three kinds in turns, and the seconds of a turn: the waves of a
-# calm day on the users' bench.
+# Factors on the rates of the three kinds, which alternate every `WAVE_S`
+# seconds: the load pattern of a calm day in the users' own measurements.
 WAVES = ((0.36, 1.3, 2.85), (2.4, 0.5, 0.05))
 WAVE_S = 9.5
 
@@ -158,7 +159,7 @@
     )
 
 
-# The large fleet of adwoa, at the share of its sheet that is played.
+# The large fleet of adwoa, scaled to the share that is simulated.
 LARGE = Plan(
     "platform-adwoa-large",
     (
@@ -218,12 +219,12 @@
     """One request.
 
     Attributes:
-      number: its place in the order of arrival.
-      at_s: when it arrives.
+      number: its index in the order of arrival.
+      at_s: arrival in seconds from the start of the run.
       kind: its kind.
       prompt_tokens: length of its prompt.
-      events: length of its answer.
-      instance: index of the instance that gets it.
+      events: length of its answer in events.
+      instance: index of the instance that receives it.
     """
 
     number: int
@@ -241,9 +242,9 @@
 
     Args:
       plan: the deployment.
-      seed: decides all draws.
-      load: factor of the rates of the sheet.
-      length_s: seconds in which requests arrive.
+      seed: seed of all draws.
+      load: factor on the rates of the sheet.
+      length_s: seconds over which requests arrive.
     """
     rng = random.Random(seed)
     drawn = []
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/play.py
@@ -1,11 +1,11 @@
-"""Plays a mix of prompts on modelled engines of the users' platform.
+"""Simulates placement of prompts on modelled engines.
 
-Each instance places by its own book and hears of what the others placed a
-moment later, as over the network. The policy is the product's own code, or a
-baseline; ``oracle`` is the product's rule with one book for all instances, so
-that what it gains is what quicker news could gain.
+Each instance places by its own job tracker, and learns of the placements of
+its peers after the network latency. The policy is the product's own code or a
+baseline. ``oracle`` is the product's policy with one job tracker for all
+instances, so its gain is the most that faster peer updates could bring.
 
-Left out: everything that fails, and streams that move to another engine.
+Failures and streams that move to another engine are not modelled.
 """
 
 import asyncio
@@ -27,41 +27,41 @@
 from rhubarblock.routing.placement import promptpolicy
 from rhubarblock.standins.engine import passes as passengine
 
-BookStep = Callable[[jobtracker.JobTracker], None]
+TrackerUpdate = Callable[[jobtracker.JobTracker], None]
 
 ORACLE = "oracle"
-# Seconds in which requests arrive.
+# Seconds over which requests arrive.
 LENGTH_S = 38.0
-# Seconds between instances of one data centre.
+# One-way latency between instances of a data centre in seconds.
 NEAR_S = 0.0002
-# Seconds after which a caller that was refused comes back, once.
+# Seconds after which a caller retries a refused request, once.
 RETRY_S = 0.5
-# Length of a window in seconds; the two worst ones are told.
+# Length of a window in seconds; the result has the two worst windows.
 WINDOW_S = 2.0
-# Objectives after which a caller gives up before the first event.
+# A caller gives up when its first event takes this many times the objective.
 PATIENCE = 4.0
-# Size of a datagram that tells of a placement, with its headers, and what each
-# part adds, in bytes.
-NEWS_BYTES = 95
+# Size in bytes of a datagram that announces a placement, headers included, and
+# of each part of the job in it.
+UPDATE_BYTES = 95
 PART_BYTES = 15
-# What a request is worth by its size: a fixed part, a part that grows with its
-# tokens against the mean of its kind, and the most; a written token counts as
-# ten of a prompt.
-FIXED_WORTH = 0.3
-SIZED_WORTH = 0.7
-MOST_WORTH = 4.0
-WRITTEN_WEIGHT = 10
+# The weight of a request is a fixed share plus a share that is proportional to
+# its size relative to the mean of its kind, up to a maximum. An output token
+# counts as much as ten prompt tokens.
+FIXED_WEIGHT = 0.3
+SIZE_WEIGHT = 0.7
+MAX_WEIGHT = 4.0
+OUTPUT_TOKEN_WEIGHT = 10
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """How one request ended.
+    """The outcome of one request.
 
     Attributes:
       arrival: the request.
-      refused: whether it found no room twice.
+      refused: whether no engine had room at the first try and at the retry.
       first_s: seconds to its first event; None before it.
-      longest_pause_s: longest pause between events.
+      longest_pause_s: longest pause between events in seconds.
     """
 
     arrival: mixes.Arrival
@@ -71,7 +71,7 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Whether the first event and all pauses were in time."""
+        """Whether the first event and all pauses met the objectives."""
         kind = self.arrival.kind
         return (
             self.first_s is not None
@@ -90,15 +90,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class KindFigures:
-    """What one kind of request got.
+    """Figures for one kind of request.
 
     Attributes:
-      requests: how many there were.
-      in_time: share with the first event and all pauses in time.
-      late: share that was served, but late.
-      refused: share that found no room.
-      first_p95_s: time to the first event that 95 of 100 served ones had.
-      worth: share of the worth of all that was earned.
+      requests: number of requests.
+      in_time: share that met both objectives.
+      late: share that was served, but later.
+      refused: share that was refused.
+      first_p95_s: 95th percentile of the time to the first event, of served
+        requests.
+      worth: share of the total worth that was earned.
     """
 
     requests: int
@@ -111,15 +112,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PlatformResult:
-    """What a run measured.
+    """Results of one run.
 
     Attributes:
       scenario: name of the deployment's scenario.
       policy: name of the policy.
       seed: seed of the run.
-      load: factor of the rates of the sheet.
-      worth: share of the worth of all requests that was earned.
-      worst_windows: the same over the two worst windows of two seconds.
+      load: factor on the rates of the sheet.
+      worth: share of the total worth of all requests that was earned.
+      worst_windows: mean of that share in the two worst windows of two
+        seconds.
       kinds: figures by kind of request.
     """
 
@@ -139,22 +141,22 @@
     load: float = 1.0,
     length_s: float = LENGTH_S,
 ) -> PlatformResult:
-    """Plays one run on the fake clock.
+    """Simulates one run on the fake clock.
 
     Args:
       plan: the deployment.
       policy: a prompt policy, or ``oracle``.
-      seed: decides arrivals and lengths.
-      load: factor of the rates of the sheet.
-      length_s: seconds in which requests arrive.
+      seed: seed of arrivals and lengths.
+      load: factor on the rates of the sheet.
+      length_s: seconds over which requests arrive.
 
     Raises:
       registries.RegistryError: there is no such policy.
     """
     arrivals = mixes.draw_arrivals(plan, seed, load, length_s)
-    outcomes = virtualloop.run(_play(plan, policy, arrivals))
+    outcomes = virtualloop.run(_simulate(plan, policy, arrivals))
     by_kind = {
-        kind.name: _sum_up([o for o in outcomes if o.arrival.kind is kind])
+        kind.name: _summarise([o for o in outcomes if o.arrival.kind is kind])
         for kind in plan.kinds
     }
     return PlatformResult(
@@ -162,13 +164,13 @@
         policy,
         seed,
         load,
-        round(_earn(outcomes), 4),
-        round(_find_worst(outcomes), 4),
+        round(_compute_worth(outcomes), 4),
+        round(_compute_worst_windows(outcomes), 4),
         by_kind,
     )
 
 
-async def _play(
+async def _simulate(
     plan: mixes.Plan, policy: str, arrivals: list[mixes.Arrival]
 ) -> list[Outcome]:
     fleet = Fleet(plan, policy)
@@ -188,10 +190,10 @@
 
 
 class Fleet:
-    """Modelled engines, and instances that place at them.
+    """Modelled engines and the instances that place prompts on them.
 
     Attributes:
-      engines: by id.
+      engines: the engines by endpoint id.
     """
 
     def __init__(self, plan: mixes.Plan, policy: str):
@@ -225,24 +227,26 @@
             for _ in range(count)
         ]
         shared = jobtracker.JobTracker()
-        self._books = [
+        self._trackers = [
             shared if self._is_oracle else jobtracker.JobTracker()
             for _ in self._centres
         ]
         chosen = _find_policy(policy)
         self._names = [f"i{n}" for n in range(len(self._centres))]
         self._subsets = self._make_subsets()
-        self._used = [
+        self._usable = [
             self._subsets.select(name, centre, self._listed)
             for name, centre in zip(self._names, self._centres, strict=True)
         ]
         self._policies = [
-            chosen(book, centre)
-            for book, centre in zip(self._books, self._centres, strict=True)
+            chosen(tracker, centre)
+            for tracker, centre in zip(
+                self._trackers, self._centres, strict=True
+            )
         ]
 
     def _make_subsets(self) -> subsets.Subsets:
-        """Returns which engines each instance uses."""
+        """Returns the subsets of engines that the instances use."""
         directory = directories.Directory(timer_service.LoopTimers())
         for listed in self._listed:
             directory.update(listed)
@@ -261,22 +265,22 @@
             outcome.refused = True
             return outcome
         await self._run(outcome, choice)
-        self._tell(
+        self._broadcast(
             arrival.instance,
             choice.job,
-            lambda book: book.remove(choice.job.job_id),
+            lambda tracker: tracker.remove(choice.job.job_id),
         )
         return outcome
 
     async def _wait_for_start(self, arrival: mixes.Arrival) -> None:
-        """Waits for as long as the policy wants a request to."""
+        """Waits until the policy allows the request to start."""
         policy = self._policies[arrival.instance]
         model = self._plan.model
         while True:
             prompt = _describe(arrival)
             now_s = _read_clock()
-            used = self._used[arrival.instance]
-            start_s = policy.find_start_delay(prompt, used, model, now_s)
+            usable = self._usable[arrival.instance]
+            start_s = policy.find_start_delay(prompt, usable, model, now_s)
             if start_s <= 0.0:
                 return
             await asyncio.sleep(min(start_s, relays.START_S))
@@ -285,28 +289,32 @@
         now_s = _read_clock()
         prompt = _describe(arrival)
         choice = self._policies[arrival.instance].choose(
-            prompt, self._used[arrival.instance], self._plan.model, now_s
+            prompt, self._usable[arrival.instance], self._plan.model, now_s
         )
         if choice is None:
             return None
         job = choice.job
-        self._tell(
-            arrival.instance, job, lambda book: book.add(job, _read_clock())
+        self._broadcast(
+            arrival.instance,
+            job,
+            lambda tracker: tracker.add(job, _read_clock()),
         )
         return choice
 
-    def _tell(self, sender: int, job: jobtracker.Job, step: BookStep) -> None:
-        """Takes a step in the sender's book, and later in its peers' books.
+    def _broadcast(
+        self, sender: int, job: jobtracker.Job, update: TrackerUpdate
+    ) -> None:
+        """Updates the sender's job tracker, and later those of its peers.
 
-        Those hear of it that use an engine of the job, one after the other, as
-        the datagrams share the sender's link.
+        Only peers that use an engine of the job get the update. Their
+        datagrams are sent one after the other over the sender's link.
         """
-        step(self._books[sender])
+        update(self._trackers[sender])
         if self._is_oracle:
             return
         loop = asyncio.get_running_loop()
         uses = self._subsets.make_filter(p.endpoint_id for p in job.parts)
-        bits = 8 * (NEWS_BYTES + PART_BYTES * len(job.parts))
+        bits = 8 * (UPDATE_BYTES + PART_BYTES * len(job.parts))
         sending_s = 0.0
         for index in self._list_peers(sender):
             centre = self._centres[index]
@@ -314,30 +322,35 @@
                 continue
             sending_s += bits / self._plan.link_bps
             is_near = centre == self._centres[sender]
-            way_s = NEAR_S if is_near else self._plan.cross_s
-            loop.call_later(way_s + sending_s, step, self._books[index])
+            latency_s = NEAR_S if is_near else self._plan.cross_s
+            loop.call_later(
+                latency_s + sending_s, update, self._trackers[index]
+            )
 
     def _list_peers(self, sender: int) -> list[int]:
-        """Returns the other instances in the order in which they are told."""
+        """Returns the other instances in the order in which they get updates.
+
+        Those of the sender's data centre come first.
+        """
         own = self._centres[sender]
-        others = [n for n in range(len(self._books)) if n != sender]
+        others = [n for n in range(len(self._trackers)) if n != sender]
         return sorted(others, key=lambda n: self._centres[n] != own)
 
     async def _run(self, outcome: Outcome, choice: prompts.Choice) -> None:
-        """Reads a prompt in its parts, then writes its answer."""
+        """Runs the prefill of all parts, then decodes the answer."""
         arrival = outcome.arrival
         first = self.engines[choice.job.endpoint_id]
         count = len(choice.job.parts)
         ended = asyncio.Event()
         times: list[float] = []
 
-        def note(is_last: bool) -> None:
+        def record_event(is_last: bool) -> None:
             times.append(_read_clock())
             if is_last:
                 ended.set()
 
         held = choice.job.parts[0].tokens
-        writer = passengine.Writer(held, arrival.events, note)
+        writer = passengine.Writer(held, arrival.events, record_event)
         left = [count]
 
         def finish() -> None:
@@ -367,7 +380,7 @@
 
 
 def _describe(arrival: mixes.Arrival) -> prompts.Prompt:
-    """Returns a request as a policy sees it now."""
+    """Returns a request in the form that policies take, at this moment."""
     kind = arrival.kind
     return prompts.Prompt(
         f"i.{arrival.number}",
@@ -383,41 +396,41 @@
     return asyncio.get_running_loop().time()
 
 
-def _weigh(arrival: mixes.Arrival) -> float:
-    """Returns what a request is worth for its size, 1 for a usual one."""
+def _compute_weight(arrival: mixes.Arrival) -> float:
+    """Returns the weight of a request by its size, 1 for one of mean size."""
     kind = arrival.kind
-    event_tokens = kind.event_tokens * WRITTEN_WEIGHT
+    event_tokens = kind.event_tokens * OUTPUT_TOKEN_WEIGHT
     size = arrival.prompt_tokens + event_tokens * arrival.events
-    usual = kind.prompt.mean + event_tokens * kind.events.mean
-    return min(MOST_WORTH, FIXED_WORTH + SIZED_WORTH * size / usual)
+    mean = kind.prompt.mean + event_tokens * kind.events.mean
+    return min(MAX_WEIGHT, FIXED_WEIGHT + SIZE_WEIGHT * size / mean)
 
 
-def _earn(outcomes: list[Outcome]) -> float:
-    """Returns the share of the worth of requests that was earned."""
-    owed = 0.0
+def _compute_worth(outcomes: list[Outcome]) -> float:
+    """Returns the share of the total worth of requests that was earned."""
+    total = 0.0
     earned = 0.0
     for outcome in outcomes:
         kind = outcome.arrival.kind
-        weight = _weigh(outcome.arrival)
-        owed += weight * kind.worth
+        weight = _compute_weight(outcome.arrival)
+        total += weight * kind.worth
         if outcome.is_in_time:
             earned += weight * kind.worth
         elif not outcome.is_lost:
             earned += weight * kind.late_worth
-    return earned / owed if owed else 1.0
+    return earned / total if total else 1.0
 
 
-def _find_worst(outcomes: list[Outcome]) -> float:
-    """Returns the mean share of the two worst windows."""
+def _compute_worst_windows(outcomes: list[Outcome]) -> float:
+    """Returns the mean of the earned share in the two worst windows."""
     windows: dict[int, list[Outcome]] = {}
     for outcome in outcomes:
         number = int(outcome.arrival.at_s / WINDOW_S)
         windows.setdefault(number, []).append(outcome)
-    shares = sorted(_earn(found) for found in windows.values())
+    shares = sorted(_compute_worth(found) for found in windows.values())
     return statistics.fmean(shares[:2]) if shares else 1.0
 
 
-def _sum_up(outcomes: list[Outcome]) -> KindFigures:
+def _summarise(outcomes: list[Outcome]) -> KindFigures:
     count = len(outcomes)
     firsts = sorted(o.first_s for o in outcomes if o.first_s is not None)
     in_time = sum(o.is_in_time for o in outcomes)
@@ -428,5 +441,5 @@
         round((count - in_time - refused) / count, 4) if count else 0.0,
         round(refused / count, 4) if count else 0.0,
         round(firsts[int(0.95 * (len(firsts) - 1))], 3) if firsts else 0.0,
-        round(_earn(outcomes), 4),
+        round(_compute_worth(outcomes), 4),
     )
--- a/rhubarblock/experiments/platform/play_test.py
+++ b/rhubarblock/experiments/platform/play_test.py
@@ -13,19 +13,19 @@
     return platformplay.measure(plan, policy, seed, load, SECONDS)
 
 
-def test_same_seed_gives_the_same_figures():
+def test_figures_are_deterministic_for_a_seed():
     assert play("parted") == play("parted")
     assert play("parted") != play("parted", seed=4)
 
 
-def test_parts_by_predicted_passes_earn_more_than_the_baselines():
+def test_parted_policy_earns_more_than_the_baselines():
     parted = play("parted").worth
     assert parted > play("least_requests").worth + 0.05
     assert parted > play("fixed_lanes").worth + 0.05
 
 
-def test_long_bursts_earn_more_when_long_prompts_may_wait():
-    # The longest kind arrives 2.85 times as often as on the sheet.
+def test_delayed_start_earns_more_in_a_burst_of_long_prompts():
+    # In the first wave long prompts arrive at 2.85 times their rate.
     waiting, at_once = (
         sum(
             platformplay.measure(mixes.CARONI, policy, seed, 1.0, 9.5).worth
@@ -36,7 +36,7 @@
     assert waiting > at_once + 0.06
 
 
-def test_all_requests_end_in_one_way():
+def test_every_request_is_counted_with_exactly_one_outcome():
     figures = play("parted", load=2.0)
     for kind in figures.kinds.values():
         assert kind.requests > 0
@@ -44,21 +44,21 @@
         assert total == pytest.approx(1.0, abs=0.001)
 
 
-def test_more_load_is_served_worse():
+def test_overload_earns_less_than_half_load():
     assert play("parted", load=2.5).worth < play("parted", load=0.5).worth
 
 
-def test_idle_fleet_is_in_time():
+def test_idle_fleet_meets_the_objectives_of_short_requests():
     figures = play("parted", load=0.1)
     assert figures.kinds["short"].in_time == 1.0
 
 
-def test_unknown_policy_is_told():
+def test_unknown_policy_raises():
     with pytest.raises(registries.UnknownPluginError):
         play("no such policy")
 
 
-def test_request_is_lost_when_its_caller_gives_up():
+def test_outcome_is_lost_when_the_caller_gives_up():
     arrival = mixes.Arrival(0, 0.0, mixes.HOFBAUER.kinds[0], 5_000, 3, 0)
     outcome = platformplay.Outcome(arrival, first_s=0.2)
     assert outcome.is_in_time
@@ -69,7 +69,7 @@
     assert outcome.is_lost
 
 
-def test_waves_move_the_mix():
+def test_waves_change_the_mix_of_kinds():
     arrivals = mixes.draw_arrivals(mixes.ADWOA, 1, 1.0, 19.0)
     first = [a.kind.name for a in arrivals if a.at_s < mixes.WAVE_S]
     second = [a.kind.name for a in arrivals if a.at_s >= mixes.WAVE_S]
@@ -77,11 +77,11 @@
     assert first.count("short") < second.count("short")
 
 
-def make_hall(per_s):
-    """One data centre of the large fleet, with short prompts only."""
+def make_single_centre_plan(per_s):
+    """Returns one data centre of the large fleet, almost only short prompts."""
     short, middle, long = mixes.LARGE.kinds
     kinds = (
-        # The first wave brings 0.36 of the sheet's rate.
+        # Cancels the factor of the first wave.
         dataclasses.replace(short, per_s=per_s / 0.36),
         dataclasses.replace(middle, per_s=0.01),
         dataclasses.replace(long, per_s=0.01),
@@ -91,8 +91,14 @@
     )
 
 
-def test_many_instances_that_pack_leave_each_other_a_slot():
-    # A burst: 141 / 5 a second, times 2.4. News takes up to 3 ms to reach all.
-    # Where all took the fullest engine 0.952 were in time (three seeds).
-    result = platformplay.measure(make_hall(68.0), seed=1, length_s=8.0)
+def test_concurrent_instances_do_not_overfill_the_fullest_engine():
+    """Instances that place at once must not all pick the same engine.
+
+    Updates take up to 3 ms to reach all instances. If each chose the fullest
+    engine by its own outdated view, only 95% of a burst would be in time.
+    """
+    # A burst: a fifth of 141 requests a second, times 2.4.
+    result = platformplay.measure(
+        make_single_centre_plan(68.0), seed=1, length_s=8.0
+    )
     assert result.kinds["short"].in_time > 0.99
--- a/rhubarblock/experiments/quantiles.py
+++ b/rhubarblock/experiments/quantiles.py
@@ -1,4 +1,4 @@
-"""Percentiles of samples, by nearest rank so that each is a real sample."""
+"""Nearest-rank percentiles, each of which is one of the samples."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Quantiles:
-    """Summary of a sample; the values are None when it is empty.
+    """Percentiles of a set of samples; None if there are no samples.
 
     Attributes:
       p50: median.
-      p95: value that 95 in 100 do not exceed.
-      p99: value that 99 in 100 do not exceed.
-      n: size of the sample.
+      p95: 95th percentile.
+      p99: 99th percentile.
+      n: number of samples.
     """
 
     p50: float | None
@@ -23,7 +23,12 @@
 
 
 def pick_quantile(ordered: Sequence[float], share: float) -> float | None:
-    """Returns the smallest sample that a share of them does not exceed."""
+    """Returns a quantile by nearest rank, None if there are no samples.
+
+    Args:
+      ordered: samples in ascending order.
+      share: the quantile, from 0 to 1.
+    """
     if not ordered:
         return None
     rank = max(1, math.ceil(share * len(ordered)))
@@ -31,11 +36,11 @@
 
 
 def summarise(samples: Sequence[float], digits: int = 4) -> Quantiles:
-    """Returns the percentiles of samples, rounded.
+    """Returns the rounded percentiles of samples.
 
     Args:
       samples: values in any order.
-      digits: decimals to keep.
+      digits: decimal places to keep.
     """
     ordered = sorted(samples)
     values = [pick_quantile(ordered, share) for share in (0.5, 0.95, 0.99)]
--- a/rhubarblock/experiments/quarantine.py
+++ b/rhubarblock/experiments/quarantine.py
@@ -1,8 +1,9 @@
-"""The scenario ``quarantine``: a request that crashes endpoints.
+"""The scenario ``quarantine``: a poison request that crashes endpoints.
 
 Entry instances run many innocent requests on a fleet. One caller sends a
-request that kills every endpoint that runs it, and on each failure sends it
-again at several instances at once. Endpoints also die by themselves.
+request that crashes every endpoint that runs it and, after each failure,
+sends it again at several instances at once. Endpoints also crash without a
+cause.
 """
 
 import asyncio
@@ -32,7 +33,7 @@
 _OWN_DEATHS_S = 60.0
 _POISON_S = 20.0
 _END_S = 70.0
-_POISON_STARTS = 200  # Bound on what the caller tries.
+_POISON_STARTS = 200  # Bound on the poison requests that the caller sends.
 _COPIES = 3
 _MAX_ATTEMPTS = 8
 _WAIT_S = 60.0
@@ -42,22 +43,24 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class QuarantineResult:
-    """What the scenario measured.
+    """Results of one run.
 
     Attributes:
       scenario: ``quarantine``.
       policy: one of ``POLICIES``.
       seed: seed of the run.
-      poisons: requests that kill endpoints.
-      endpoints_lost_to_poison: most endpoints that one of them killed.
-      own_deaths: endpoints that died by themselves.
+      poisons: number of poison requests.
+      endpoints_lost_to_poison: most endpoints that one of them crashed.
+      own_deaths: crashes of endpoints without a cause.
       innocents: innocent requests that ended.
       innocents_quarantined: innocent digests in quarantine at the end.
       innocents_failed: innocent requests that did not finish.
-      innocents_cut: attempts of innocent requests that a death cut.
-      delay_s: time beyond its own that a cut innocent request took.
-      detected_s: time from the first start of a poison to its quarantine.
-      refused: attempts of the caller that were refused unrun.
+      innocents_cut: attempts of innocent requests that a crash aborted.
+      delay_s: seconds beyond its run time that an innocent request took after
+        an aborted attempt.
+      detected_s: seconds from the first poison request until each poison is
+        quarantined at an instance at least; None if that did not happen.
+      refused: poison requests that were refused before they ran.
     """
 
     scenario: str
@@ -76,19 +79,19 @@
 
 
 class _CrashedError(Exception):
-    """The endpoint died under a request."""
+    """The endpoint crashed while it ran the request."""
 
 
 class _GoneError(Exception):
-    """The endpoint of a permit died before the request was sent."""
+    """The endpoint of a permit crashed before the request was sent."""
 
 
 class _Endpoint:
-    """An endpoint that runs requests beside each other.
+    """An endpoint that runs requests concurrently.
 
     Attributes:
       endpoint_id: its name.
-      alive: whether it runs.
+      alive: whether it is up.
       running: requests in flight, by digest.
     """
 
@@ -138,8 +141,8 @@
     Args:
       seed: decides arrivals, lengths, deaths and choices.
       policy: one of ``POLICIES``.
-      poisons: requests that kill endpoints, all sent at the same time.
-      own_deaths_s: mean time between deaths in the fleet without a cause.
+      poisons: number of poison requests, all first sent at the same time.
+      own_deaths_s: mean seconds between crashes without a cause in the fleet.
 
     Returns:
       The measurements.
@@ -189,7 +192,7 @@
 
     async def measure(self) -> QuarantineResult:
         arrivals = asyncio.ensure_future(self._send_innocents())
-        deaths = asyncio.ensure_future(self._let_die())
+        deaths = asyncio.ensure_future(self._crash_endpoints())
         await self._timers.sleep(_POISON_S)
         for poison in self._poisons:
             self._start(self._send_poison(poison, 0))
@@ -238,7 +241,8 @@
             taken_s = self._timers.read_monotonic() - begun_s
             self._delays.append(taken_s - run_s)
 
-    async def _let_die(self) -> None:
+    async def _crash_endpoints(self) -> None:
+        """Crashes random endpoints without a cause."""
         while True:
             await self._timers.sleep(
                 self._rng.expovariate(1 / self._own_deaths_s)
@@ -247,7 +251,7 @@
             self._own_deaths += 1
 
     async def _send_poison(self, digest: str, number: int) -> None:
-        """Sends the request, and again at several instances when it fails."""
+        """Sends a poison request, then copies of it at other instances."""
         self._starts[digest] += 1
         await self._serve(number, digest, _LONGEST_RUN_S)
         for _ in range(_COPIES):
@@ -258,16 +262,16 @@
     def _pick_number(self) -> int:
         return self._rng.randrange(INSTANCES)
 
-    # A small relay.
+    # A minimal relay: permits, attempts and retries.
 
     async def _serve(self, number: int, digest: str, run_s: float) -> int:
-        """Runs a request; returns the attempts it took, 0 when it failed."""
+        """Runs a request; returns the attempts it took, 0 if it failed."""
         own = self._quarantines[number]
         left_s = run_s
         for attempt in range(1, _MAX_ATTEMPTS + 1):
             acquired = await self._acquire(own, digest)
             if not isinstance(acquired, result.Success):
-                self._note_refusal(digest)
+                self._record_refusal(digest)
                 return 0
             permit = acquired.unwrap()
             begun_s = self._timers.read_monotonic()
@@ -278,7 +282,7 @@
             except _GoneError:
                 continue
             except _CrashedError:
-                # It goes on from where the caller's stream stands.
+                # The next attempt resumes the stream and runs the rest.
                 left_s -= self._timers.read_monotonic() - begun_s
             finally:
                 if permit is not None:
@@ -321,7 +325,7 @@
                 self._cut += 1
             if self._policy != "none":
                 await own.record_crash(endpoint.endpoint_id)
-                self._note_detection()
+                self._record_detection()
             raise
 
     async def _choose_endpoint(
@@ -332,7 +336,7 @@
             usable = self._list_usable(own, permit)
             if not usable:
                 await self._timers.sleep(_POLL_S)
-        # The less loaded of two: what instances that choose at once do.
+        # The power of two choices models instances that choose concurrently.
         pair = self._rng.sample(usable, min(2, len(usable)))
         return min(pair, key=lambda e: e.load)
 
@@ -349,15 +353,16 @@
         return [e for e in ready if e.endpoint_id not in kept]
 
     def _kill(self, endpoint: _Endpoint, digest: str) -> None:
+        """Crashes an endpoint that still runs a poison request."""
         if endpoint.alive and endpoint.running[digest]:
             self._kills[digest] += 1
             endpoint.die()
 
-    def _note_refusal(self, digest: str) -> None:
+    def _record_refusal(self, digest: str) -> None:
         if digest in self._starts:
             self._refused += 1
 
-    def _note_detection(self) -> None:
+    def _record_detection(self) -> None:
         if self._detected_s is None and all(
             any(self._decide(own, p) for own in self._quarantines)
             for p in self._poisons
--- a/rhubarblock/experiments/quarantine_test.py
+++ b/rhubarblock/experiments/quarantine_test.py
@@ -1,7 +1,7 @@
 from rhubarblock.experiments import quarantine
 
 
-def test_a_poison_costs_two_endpoints_and_no_innocent():
+def test_quarantine_stops_a_poison_after_two_crashes_without_false_blame():
     figures = quarantine.measure(seed=1)
     assert figures.endpoints_lost_to_poison == 2
     assert figures.innocents_quarantined == 0
@@ -9,6 +9,6 @@
     assert figures.innocents > 5000
 
 
-def test_without_a_quarantine_it_costs_far_more():
+def test_poison_crashes_many_endpoints_without_quarantine():
     figures = quarantine.measure(seed=1, policy="none")
     assert figures.endpoints_lost_to_poison > 20
--- a/rhubarblock/experiments/report.py
+++ b/rhubarblock/experiments/report.py
@@ -1,7 +1,7 @@
-"""Results as tables, for a terminal and for a page that needs nothing else.
+"""Renders results as tables, for a terminal or as a self-contained HTML page.
 
-The same sections give both. Plots, where a section has one, are drawn by
-``reportplots`` and stand in the page as SVG.
+Both are made from the same sections. ``reportplots`` draws the plot of a
+section, which the page embeds as SVG.
 """
 
 from collections.abc import Mapping
@@ -18,7 +18,8 @@
 from rhubarblock.experiments import reportplots
 
 _QUANTILES = ("p50", "p95", "p99")
-# Figures of a mixed run that are quantiles by prompt length, and single ones.
+# Figures of a mixed run that are quantiles for each band of prompt lengths, and
+# those that are quantiles over all requests.
 _BY_LENGTH = {
     "ttft_s": "Time to first token by prompt length, seconds",
     "ttft_stretch": "Time to first token over that on an idle fleet",
@@ -38,13 +39,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Section:
-    """One table, and perhaps a plot of it.
+    """One table with an optional plot.
 
     Attributes:
       title: heading.
-      headings: heads of the columns.
+      headings: column headings.
       rows: cells as text.
-      bars: what is plotted; None for no plot.
+      bars: data of the plot; None for no plot.
     """
 
     title: str
@@ -57,7 +58,7 @@
     """Returns the sections of a report.
 
     Args:
-      runs: results in the order in which they are to stand beside each other.
+      runs: results in the order of their columns or rows.
     """
     sections = []
     for field, title in _BY_LENGTH.items():
@@ -78,7 +79,7 @@
 
 
 def write_text(sections: Sequence[Section]) -> str:
-    """Returns sections for a terminal."""
+    """Renders sections for a terminal."""
     stream = io.StringIO()
     screen = consoles.Console(file=stream, width=_WIDTH)
     for section in sections:
@@ -93,7 +94,7 @@
 
 
 def write_page(sections: Sequence[Section]) -> str:
-    """Returns sections as an HTML page without references to other files."""
+    """Renders sections as an HTML page without references to other files."""
     parts = [_write_section(section) for section in sections]
     return (
         "<!doctype html>\n<html lang=en><meta charset=utf-8>\n"
@@ -103,7 +104,7 @@
 
 
 def name_run(run: history.Run) -> str:
-    """Returns the label of a run among others."""
+    """Returns the label of a run."""
     return run.group if run.seed is None else f"{run.group} seed={run.seed}"
 
 
--- a/rhubarblock/experiments/report_test.py
+++ b/rhubarblock/experiments/report_test.py
@@ -31,7 +31,7 @@
 """
 
 
-def test_policies_stand_beside_each_other_on_a_terminal():
+def test_terminal_report_lists_policies_next_to_each_other():
     sections = report.build_sections(RUNS)
     assert [section.title for section in sections] == [
         "Time to first token by prompt length, seconds",
@@ -53,7 +53,7 @@
     assert section.rows == (("loads.cpu.x", "0.5", "0.1"),)
 
 
-def test_the_page_holds_its_plots_and_needs_no_other_file():
+def test_page_embeds_its_plots_and_references_no_other_file():
     page = report.write_page(report.build_sections(RUNS))
     assert page.count("<svg") == 2
     assert page.count("<table>") == 3
--- a/rhubarblock/experiments/reportplots.py
+++ b/rhubarblock/experiments/reportplots.py
@@ -1,4 +1,4 @@
-"""Plots of a report, as SVG text that stands in a page."""
+"""Plots of a report, as SVG text to embed in an HTML page."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bars:
-    """Groups of bars beside each other.
+    """Data of a grouped bar chart.
 
     Attributes:
       title: heading.
-      groups: names along the axis.
+      groups: names along the horizontal axis.
       values: for each run its value in each group; None leaves a gap.
-      unit: what the values are, beside the axis.
+      unit: label of the vertical axis.
     """
 
     title: str
@@ -27,8 +27,8 @@
 
 
 def draw_bars(bars: Bars) -> str:
-    """Returns a plot as an SVG element, on a logarithmic axis."""
-    # It comes with the extra "report", which entry instances go without.
+    """Returns a bar chart with a logarithmic axis as an SVG element."""
+    # Part of the extra "report", which entry instances don't install.
     from matplotlib import figure as figures
 
     figure = figures.Figure(figsize=(_WIDTH_IN, _HEIGHT_IN))
@@ -47,7 +47,7 @@
     axes.set_title(bars.title)
     axes.legend(fontsize="small")
     stream = io.StringIO()
-    # Without the date the same results give the same page.
+    # Omits the date, so that the same results give the same page.
     figure.savefig(
         stream, format="svg", bbox_inches="tight", metadata={"Date": None}
     )
--- a/rhubarblock/experiments/retrystorm.py
+++ b/rhubarblock/experiments/retrystorm.py
@@ -1,8 +1,9 @@
-"""The scenario ``retry-storm``: half of the endpoints die under full load.
+"""The scenario ``retry-storm``: half of the endpoints fail under load.
 
-Entry instances send requests to endpoints of bounded speed. An attempt at a
-dead endpoint, or at one whose queue is too long, fails. Measured is by how
-much retries multiply the load, and what is still answered.
+Entry instances send requests to endpoints of limited throughput. An attempt
+fails at a dead endpoint and at one whose queue is too long. The scenario
+measures how much retries amplify the load and how many requests are still
+answered.
 """
 
 import asyncio
@@ -16,13 +17,14 @@
 from rhubarblock.relay import backoff as backoffs
 from rhubarblock.relay import retrybudget
 
-# ``budget`` is the product; ``unlimited`` retries as often as it may.
+# ``budget`` applies the product's retry budget; ``unlimited`` is the baseline
+# that is bounded by the attempts and the deadline of a request alone.
 POLICIES = ("budget", "unlimited")
 INSTANCES = 7
 ENDPOINTS = 22
 
 _SERVICE_S = 0.05
-_QUEUE_S = 0.5  # Longer queues refuse.
+_MAX_QUEUE_S = 0.5  # An endpoint refuses attempts that would wait longer.
 _DEADLINE_S = 5.0
 _MAX_ATTEMPTS = 6
 _DEATH_S = 20.0
@@ -32,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RetryStormResult:
-    """What the scenario measured.
+    """Results of one run.
 
     Attributes:
       scenario: ``retry-storm``.
@@ -41,11 +43,13 @@
       load: offered load, as a share of the capacity of all endpoints.
       requests: requests sent.
       attempts: attempts made.
-      amplification_max: most attempts for each request in any second.
-      amplification: the same over the time with half of the endpoints dead.
-      answered_before: share of the requests answered before the deaths.
-      answered_during: share answered while half of the endpoints were dead.
-      answered_after: share answered after their return.
+      amplification_max: highest ratio of attempts to requests in a second
+        while half of the endpoints are dead.
+      amplification: the same ratio over all that time.
+      answered_before: share answered of the requests sent before the failure.
+      answered_during: share answered of those sent while half of the
+        endpoints were dead.
+      answered_after: share answered of those sent after the recovery.
     """
 
     scenario: str
@@ -62,7 +66,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Second:
+class _SecondCounts:
+    """Counts for one second of the run.
+
+    Attributes:
+      requests: requests that were sent in it.
+      attempts: attempts that were made in it.
+      answered: how many of its requests were answered at any time.
+    """
+
     requests: int = 0
     attempts: int = 0
     answered: int = 0
@@ -101,9 +113,11 @@
         self._budgets = [
             retrybudget.RetryBudget(self._timers) for _ in range(INSTANCES)
         ]
-        # When each endpoint has worked off its queue.
+        # When each endpoint's queue will be empty.
         self._free_s = [0.0] * ENDPOINTS
-        self._seconds = [_Second() for _ in range(int(_END_S + _DEADLINE_S))]
+        self._seconds = [
+            _SecondCounts() for _ in range(int(_END_S + _DEADLINE_S))
+        ]
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def measure(self) -> RetryStormResult:
@@ -122,7 +136,7 @@
 
     async def _serve(self, budget: retrybudget.RetryBudget) -> None:
         sent_s = self._timers.read_monotonic()
-        sent = self._find_second()
+        sent = self._get_second()
         sent.requests += 1
         for attempts in range(1, _MAX_ATTEMPTS + 1):
             if await self._try_once():
@@ -141,20 +155,20 @@
         return self._policy == "unlimited" or budget.try_spend()
 
     async def _try_once(self) -> bool:
-        """Makes an attempt; it knows nothing of which endpoints are dead."""
-        self._find_second().attempts += 1
+        """Makes one attempt at a random endpoint, which may be dead."""
+        self._get_second().attempts += 1
         now_s = self._timers.read_monotonic()
         number = self._rng.randrange(ENDPOINTS)
         if _DEATH_S <= now_s < _RETURN_S and number < ENDPOINTS // 2:
             return False
         begin_s = max(now_s, self._free_s[number])
-        if begin_s - now_s > _QUEUE_S:
+        if begin_s - now_s > _MAX_QUEUE_S:
             return False
         self._free_s[number] = begin_s + _SERVICE_S
         await self._timers.sleep(begin_s + _SERVICE_S - now_s)
         return True
 
-    def _find_second(self) -> _Second:
+    def _get_second(self) -> _SecondCounts:
         now_s = self._timers.read_monotonic()
         return self._seconds[min(int(now_s), len(self._seconds) - 1)]
 
@@ -174,12 +188,14 @@
                 sum(s.attempts for s in dead) / sum(s.requests for s in dead),
                 3,
             ),
-            answered_before=_share(self._seconds[: int(_DEATH_S)]),
-            answered_during=_share(dead),
-            answered_after=_share(self._seconds[int(_RETURN_S) : int(_END_S)]),
+            answered_before=_compute_share(self._seconds[: int(_DEATH_S)]),
+            answered_during=_compute_share(dead),
+            answered_after=_compute_share(
+                self._seconds[int(_RETURN_S) : int(_END_S)]
+            ),
         )
 
 
-def _share(seconds: list[_Second]) -> float:
+def _compute_share(seconds: list[_SecondCounts]) -> float:
     answered = sum(s.answered for s in seconds)
     return round(answered / sum(s.requests for s in seconds), 4)
--- a/rhubarblock/experiments/simulation.py
+++ b/rhubarblock/experiments/simulation.py
@@ -1,8 +1,8 @@
-"""A fleet in one process on the fake clock: real code, stand-in surroundings.
+"""Simulates a fleet in one process on the fake clock.
 
-It builds engines, services, the platform and whole entry instances, runs
-arrivals through the instances in turn, as the platform's balancer does, and
-keeps a record of each request.
+Entry instances run the real code; engines, services and the platform are
+stand-ins. Arrivals go to the instances in turn, as the platform's load
+balancer distributes them, and each request leaves a record.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 SERVICE_ENDPOINTS = 3
 WALL_OFFSET_S = 1.8e9
 LIST_LAG_S = 5.0
-# Seconds from the start of the instances to the first request.
+# Seconds between the start of the instances and the first request.
 START_S = 12.0
 
 
@@ -58,9 +58,10 @@
       instances: number of entry instances.
       engines: number of engines.
       latency_s: one-way latency between data centres in seconds.
-      weight_ttft: weight of time to first token against short slowdown.
-      decoders: engines with the decode role; 0 gives all of them both roles.
-      kv_tokens: KV memory of an engine in tokens.
+      weight_ttft: weight of the time to first token against the slowdown of
+        short requests.
+      decoders: engines with the decode role; 0 gives all engines both roles.
+      kv_tokens: size of an engine's KV cache in tokens.
     """
 
     name: str
@@ -74,7 +75,7 @@
 
 
 class RecordingSink(sinks.Sink):
-    """Notes when tokens came, and whether the answer is the right one."""
+    """Records token arrival times and checks the text of the answer."""
 
     __slots__ = (
         "_digest",
@@ -82,7 +83,7 @@
         "first_s",
         "gaps_s",
         "last_s",
-        "right",
+        "has_correct_text",
         "tokens",
     )
 
@@ -93,7 +94,7 @@
         self.last_s = 0.0
         self.gaps_s: list[float] = []
         self.tokens = 0
-        self.right = True
+        self.has_correct_text = True
 
     async def write(self, chunk: attempts.Chunk) -> None:
         now_s = self._timers.read_monotonic()
@@ -105,21 +106,21 @@
         expected = enginetokens.expected_text(
             self._digest, self.tokens, self.tokens + chunk.count
         )
-        self.right = self.right and chunk.text == expected
+        self.has_correct_text = self.has_correct_text and chunk.text == expected
         self.tokens += chunk.count
 
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """What became of one request.
+    """One request and its outcome.
 
     Attributes:
       arrival: the request as drawn.
-      instance_id: instance that got it.
-      address: address of that start of the instance.
-      sink: what its caller got.
+      instance_id: instance that received it.
+      address: peer address of that instance; a restart gets a new one.
+      sink: what its caller received.
       outcome: answer or failure; None while it runs.
-      ended_s: when it ended.
+      ended_s: when it ended, in monotonic seconds.
     """
 
     arrival: workload.Arrival
@@ -137,14 +138,18 @@
 
     Attributes:
       plan: size and shape.
+      policy_name: placement policy of all instances.
+      seed: seed of everything random.
       timers: the timer service.
-      store: the stand-in of the platform.
-      listing: its lagging list.
-      network: what joins the instances.
+      rng: generator that seeds those of all parts.
+      store: the stand-in of the platform's store.
+      listing: the platform's lagging list of instances.
+      network: the network between the instances.
       cluster: the engines.
-      runs: what plain services ran.
-      instances: the entry instances that run, by id.
-      records: what became of each request.
+      runs: log of the calls that plain services ran.
+      services: endpoints of the plain service, by address.
+      instances: the running entry instances, by id.
+      records: all requests, in the order in which they were sent.
     """
 
     def __init__(
@@ -154,13 +159,13 @@
         seed: int,
         catalogue: catalogues.Catalogue,
     ):
-        """Builds the surroundings; instances are started later.
+        """Builds everything but the instances, which are started later.
 
         Args:
           plan: size and shape.
           policy_name: placement policy of all instances.
-          seed: decides everything random.
-          catalogue: in force from the start.
+          seed: seed of everything random.
+          catalogue: catalogue in force from the start.
         """
         self.plan = plan
         self.policy_name = policy_name
@@ -193,13 +198,13 @@
             self._add_service(number)
 
     def make_rng(self) -> random.Random:
-        """Returns a generator of its own for one part."""
+        """Returns a new generator for one part of the simulation."""
         return random.Random(self.rng.getrandbits(64))
 
     def make_client(
         self, timers: timer_service.Timers
     ) -> enginecluster.MemoryEngineClient:
-        """Returns the way of one instance to the engines."""
+        """Returns the engine client of one instance."""
         return enginecluster.MemoryEngineClient(
             self.cluster, timers, self.plan.latency_s
         )
@@ -210,25 +215,25 @@
         return names[number % len(names)]
 
     async def start_instances(self, settle_s: float = START_S) -> None:
-        """Starts all instances of the plan, one shortly after the other.
+        """Starts all instances of the plan, one after the other.
 
         Args:
-          settle_s: seconds to wait afterwards; loans of limits begin only once
-            no earlier start can hold one.
+          settle_s: seconds to wait afterwards; loans of limits begin only when
+            no loan to an earlier start of an instance can still be held.
         """
         for number in range(self.plan.instances):
             await self.start_instance(number)
         await self.timers.sleep(settle_s)
 
     async def start_instance(self, number: int) -> "Node":
-        """Starts one instance; the same number again is a restart."""
+        """Starts an instance; the same number again restarts that instance."""
         node = self._create_node(number)
         await node.stack.enter_async_context(node.instance.run())
         self.instances[node.instance_id] = node
         return node
 
     async def stop_instance(self, node: "Node") -> None:
-        """Stops an instance as planned, with its drain."""
+        """Stops an instance gracefully, with its drain."""
         del self.instances[node.instance_id]
         await node.stack.aclose()
         self.network.remove(node.port.address)
@@ -239,7 +244,7 @@
             await self.stop_instance(node)
 
     async def run(self, arrivals: Sequence[workload.Arrival]) -> None:
-        """Runs arrivals to their ends, spread over the instances in turn."""
+        """Runs all arrivals to completion, over the instances in turn."""
         tasks = []
         start_s = self.timers.read_monotonic()
         for number, arrival in enumerate(arrivals):
@@ -279,7 +284,9 @@
                 name, address, self.timers, self.make_rng(), settings
             )
         )
-        self._list(name, address, number, instances.InstanceKind.ENGINE)
+        self._list_instance(
+            name, address, number, instances.InstanceKind.ENGINE
+        )
 
     def _add_service(self, number: int) -> None:
         name = f"desk-{number}"
@@ -287,9 +294,11 @@
         self.services[address] = service.PlainService(
             name, self.timers, self.runs
         )
-        self._list(name, address, number, instances.InstanceKind.SERVICE)
+        self._list_instance(
+            name, address, number, instances.InstanceKind.SERVICE
+        )
 
-    def _list(
+    def _list_instance(
         self,
         name: str,
         address: str,
@@ -336,14 +345,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Node:
-    """An entry instance in a simulation, and what can fail about it.
+    """An entry instance in a simulation, with its points for fault injection.
 
     Attributes:
       instance: the instance.
-      port: its address.
-      peers: its transport, which can be paused or cut.
-      client: its way to the engines, which can be blocked.
-      stack: what is closed when it stops.
+      port: its peer transport with its address.
+      peers: its peer transport, which can be paused or cut off.
+      client: its engine client, which can be blocked.
+      stack: closed when the instance stops.
     """
 
     instance: entries.Instance
--- a/rhubarblock/experiments/simulation_test.py
+++ b/rhubarblock/experiments/simulation_test.py
@@ -1,4 +1,4 @@
-"""The product's policy against the naive one: same answers, other times."""
+"""Compares the length-aware policy with the naive one on a small fleet."""
 
 from hypothesis import given
 from hypothesis import Phase
@@ -28,7 +28,7 @@
 
 
 def run_session(policy, shape, requests):
-    """Returns what each caller got, without its times, and its ending."""
+    """Returns each caller's answer, and the time at which it ended."""
     with smallfleet.open_fleet(policy=policy, **shape) as fleet:
         callers = []
         for number, (wait_s, tokens, output) in enumerate(requests):
@@ -53,7 +53,7 @@
         return answers, [caller.ended_s for caller in callers]
 
 
-# A failure is not made smaller, which would take minutes.
+# Without the shrink phase, which would take minutes.
 @settings(
     max_examples=5,
     deadline=None,
@@ -62,14 +62,14 @@
     phases=[Phase.generate],
 )
 @given(_SHAPES, _REQUESTS)
-def test_policies_differ_in_times_only(shape, requests):
+def test_all_policies_give_the_same_answers(shape, requests):
     naive, _ = run_session("naive", shape, requests)
     aware, _ = run_session("length_aware", shape, requests)
     assert naive == aware
     assert all(answer[1] for answer in naive)
 
 
-def test_same_seed_gives_the_same_times_and_another_policy_does_not():
+def test_times_depend_on_the_seed_and_the_policy_only():
     shape = {"engines": 2, "instances": 2, "decoders": 0, "seed": 3}
     requests = [(0.0, 120_000, 5), (0.01, 1_000, 20), (0.01, 1_000, 20)]
     first = run_session("length_aware", shape, requests)
@@ -78,8 +78,8 @@
     assert other[0] == first[0] and other[1] != first[1]
 
 
-def test_short_prompt_does_not_wait_for_a_long_one():
-    """One engine, one long prompt under way, then a short one."""
+def test_short_prompt_is_not_blocked_by_a_long_one():
+    """A short prompt arrives at the only engine during a long prefill."""
 
     def measure(policy):
         with smallfleet.open_fleet(policy=policy, engines=1) as fleet:
@@ -93,7 +93,7 @@
     assert measure("naive") > 5.0
 
 
-def test_small_mixed_run_keeps_its_promises():
+def test_small_mixed_run_loses_and_duplicates_nothing():
     figures = mixed.measure(mixed.HOFBAUER, "length_aware", 1, 0.3, 3.0)
     assert figures.admitted > 0
     assert figures.finished == figures.admitted
--- a/rhubarblock/experiments/slopes.py
+++ b/rhubarblock/experiments/slopes.py
@@ -1,8 +1,7 @@
-"""Straight lines through measured points, with their errors.
+"""Linear least-squares fits of measured points, with standard errors.
 
-A quantity is taken as a sum of terms, such as ``1``, ``instances`` and
-``instances*entries``, each with a coefficient: its slope. Least squares give
-the slopes and the error of each.
+A quantity is modelled as a sum of terms, such as ``1``, ``instances`` and
+``instances*entries``, each with a coefficient, its slope.
 """
 
 from collections.abc import Mapping
@@ -12,19 +11,19 @@
 
 CONSTANT = "1"
 _PRODUCT = "*"
-# Values that differ by less than this share are all the same.
+# A relative spread of the values below this counts as none.
 _SPREAD_FLOOR = 1e-9
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fit:
-    """A line through points.
+    """A fitted linear model.
 
     Attributes:
-      terms: what the coefficients belong to.
+      terms: terms of the sum.
       slopes: coefficient of each term.
-      errors: standard error of each.
-      r_squared: share of the variance that the line explains.
+      errors: standard error of each coefficient.
+      r_squared: coefficient of determination.
     """
 
     terms: tuple[str, ...]
@@ -33,7 +32,7 @@
     r_squared: float
 
     def predict(self, sizes: Mapping[str, float]) -> float:
-        """Returns the quantity at other sizes.
+        """Returns the predicted quantity.
 
         Args:
           sizes: value of each factor.
@@ -44,9 +43,9 @@
         )
 
     def predict_error(self, sizes: Mapping[str, float]) -> float:
-        """Returns the error of ``predict`` that the slopes' errors bring.
+        """Returns a bound on the standard error of ``predict``.
 
-        The errors are added as if they did not cancel, so it is a bound.
+        The errors of the terms are added as if none cancelled another.
         """
         return sum(
             error * abs(compute_term(term, sizes))
@@ -79,13 +78,13 @@
 
     Args:
       terms: terms of the sum.
-      points: sizes of the factors, one mapping for each measurement.
-      values: what was measured there.
+      points: value of each factor, one mapping for each measurement.
+      values: the measured quantity, one value for each point.
 
     Raises:
-      ValueError: there are too few points for an error.
+      ValueError: there are too few points to estimate errors.
     """
-    # It comes with the extra "report", which entry instances go without.
+    # Part of the extra "report", which entry instances don't install.
     import numpy as np
 
     spare = len(points) - len(terms)
@@ -93,7 +92,7 @@
         raise ValueError(f"{len(points)} points for {len(terms)} terms")
     matrix = np.array([[compute_term(t, p) for t in terms] for p in points])
     wanted = np.array(values, dtype=float)
-    # Columns of like size keep the solution exact enough.
+    # Columns of similar magnitude keep the problem well conditioned.
     scale = np.abs(matrix).max(axis=0)
     scale[scale == 0] = 1.0
     scaled = matrix / scale
--- a/rhubarblock/experiments/smallfleet_test.py
+++ b/rhubarblock/experiments/smallfleet_test.py
@@ -1,6 +1,6 @@
-"""A small fleet on the fake clock, driven step by step by a test.
+"""A small fleet on the fake clock that a test drives step by step.
 
-The event loop lives as long as the fleet; time passes only within ``run``.
+The fleet owns the event loop; time passes only within ``run``.
 """
 
 import asyncio
@@ -34,14 +34,14 @@
     weight_ttft=0.3,
 )
 WORKSPACE = "hofbauer/dispatch"
-# Lag of the platform's list in seconds, shorter than that of measurements.
+# Lag of the platform's list in seconds, shorter than in measurements.
 LIST_LAG_S = 1.0
-# Seconds from the start of the instances until they know the engines.
+# Seconds after the start until the instances have discovered the engines.
 SETTLE_S = 2.5
 
 
 class Caller(sinks.Sink):
-    """One caller: what it asked, what it got and when."""
+    """One caller with its request, the received answer and the times."""
 
     def __init__(self, fleet: "SmallFleet", name: str, deadline_s: float):
         self.fleet = fleet
@@ -75,7 +75,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the caller has its whole answer, and no other text."""
+        """Whether the caller has exactly its complete answer."""
         expected = enginetokens.expected_text(self.digest, 0, self.wanted)
         return isinstance(self.outcome, result.Success) and (
             self.text == expected
@@ -83,13 +83,13 @@
 
     @property
     def own(self) -> bool:
-        """Whether all that the caller has is the beginning of its answer."""
+        """Whether the received text is a prefix of the caller's answer."""
         expected = enginetokens.expected_text(self.digest, 0, self.tokens)
         return self.text == expected
 
 
 class SmallFleet:
-    """A simulation and the loop that it runs on."""
+    """A simulation and the event loop on which it runs."""
 
     def __init__(
         self, policy: str = "length_aware", seed: int = 1, **shape: Any
@@ -104,7 +104,7 @@
     async def _start(
         self, plan: simulation.FleetPlan, policy: str, seed: int
     ) -> simulation.Simulation:
-        # The catalogue wants the roles that the engines have.
+        # Declares the present roles of the engines, so that none is changed.
         catalogue = dataclasses.replace(
             loopback.make_catalogue(1_002_000, plan.decoders / plan.engines),
             credentials={},
@@ -135,7 +135,7 @@
         return self._runner.run(main)
 
     def do(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Calls a plain function that needs the running loop."""
+        """Calls a plain function that needs the running event loop."""
 
         async def call() -> Any:
             return function(*args)
@@ -154,7 +154,7 @@
         deadline_s: float = 60.0,
         node: simulation.Node | None = None,
     ) -> Caller:
-        """Sends a prompt to an instance; time does not pass."""
+        """Starts a prompt at an instance; no time passes."""
         target = node or self.nodes[0]
 
         def start() -> Caller:
@@ -188,7 +188,7 @@
         deadline_s: float = 10.0,
         node: simulation.Node | None = None,
     ) -> Caller:
-        """Calls the plain service; time does not pass."""
+        """Starts a call to the plain service; no time passes."""
         target = node or self.nodes[0]
 
         def start() -> Caller:
@@ -220,7 +220,7 @@
         caller.task = asyncio.ensure_future(serve())
 
     def finish(self, *callers: Caller) -> None:
-        """Lets time pass until the callers have their ends."""
+        """Lets time pass until the requests of the callers have ended."""
 
         async def wait() -> None:
             await asyncio.gather(*(caller.task for caller in callers))
@@ -228,19 +228,19 @@
         self.run(wait())
 
     def advance_until_tokens(self, caller: Caller, count: int) -> None:
-        """Lets time pass until a caller has some tokens."""
+        """Lets time pass until a caller has received some tokens."""
         while caller.tokens < count and not caller.task.done():
             self.advance(0.004)
         assert caller.tokens >= count, caller.outcome
 
     def find_engine(self) -> engine_lib.Engine:
-        """Returns the engine that generates at present."""
+        """Returns the only engine that holds KV memory at present."""
         busy = [engine for engine in self.engines if engine.kv_held()]
         assert len(busy) == 1, busy
         return busy[0]
 
     def kill(self, node: simulation.Node) -> None:
-        """Ends an instance without a word: it neither sends nor reads."""
+        """Crashes an instance: it can neither send nor receive any more."""
         del self.simulation.instances[node.instance_id]
         self.simulation.store.faults.cut_off(node.instance_id)
         self.simulation.network.remove(node.port.address)
@@ -248,7 +248,7 @@
             node.client.block(engine.address)
         self._dead.append(node)
 
-    async def _tear_down(self) -> None:
+    async def _shut_down(self) -> None:
         await self.simulation.stop()
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for task in tasks:
@@ -260,9 +260,9 @@
                 await node.stack.aclose()
 
     def close(self) -> None:
-        """Stops the fleet and ends the loop."""
+        """Stops the fleet and closes the event loop."""
         try:
-            self.run(self._tear_down())
+            self.run(self._shut_down())
         finally:
             self._runner.close()
 
--- a/rhubarblock/experiments/storereturn/__init__.py
+++ b/rhubarblock/experiments/storereturn/__init__.py
@@ -1,4 +1,5 @@
-"""The scenario ``store-return``: who writes lost lines into the store again?
+"""The scenario ``store-return``: rewriting entries that the store has lost.
 
-Others use ``scenario``. Read on in ``fleet`` and ``backstore``.
+``scenario`` is the interface to other packages; ``fleet`` has the instances
+and ``restoredstore`` the store.
 """
--- a/rhubarblock/experiments/storereturn/fleet.py
+++ b/rhubarblock/experiments/storereturn/fleet.py
@@ -1,4 +1,4 @@
-"""Instances whose lines in the store may be gone, and two ways back."""
+"""Instances that rewrite their lost entries after the store was restored."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,7 +11,7 @@
 from rhubarblock.daemon import peersearch
 from rhubarblock.exchange.peering import table as peer_table
 from rhubarblock.exchange.peering import updates as peer_updates
-from rhubarblock.experiments.storereturn import backstore
+from rhubarblock.experiments.storereturn import restoredstore
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.settings import exchange as settings_lib
@@ -19,25 +19,28 @@
 from rhubarblock.store import instances
 from rhubarblock.store import store as stores
 
+# The compared ways. `EACH` is the product: each instance reads its own entry
+# and writes it if it is missing. With `READER`, one instance of each data
+# centre lists all entries and notifies those whose entry is missing.
 EACH = "each"
 READER = "reader"
 WAYS = (EACH, READER)
-# Seconds after the store's return within which instances hear of the new era,
-# and within which a reader's word reaches the others.
-HEARD_WITHIN_S = 0.7
-TOLD_WITHIN_S = 0.7
+# Seconds after the restoration within which instances learn of the new era,
+# and within which a reader's notification reaches the others.
+ERA_KNOWN_WITHIN_S = 0.7
+NOTIFIED_WITHIN_S = 0.7
 DATA_CENTRES = ("dc0", "dc1", "dc2")
-# Bits of an instance's name, and instances in a network of addresses.
+# Bits of an instance's name, and instances in a /24 network.
 NAME_BITS = 48
 NETWORK = 250
 PORT = 7_000
 
 
-class _SilentNews(peer_updates.PeerUpdates):
-    """Greets nobody: datagrams are no calls of the store."""
+class _SilentUpdates(peer_updates.PeerUpdates):
+    """Sends nothing: datagrams don't count as calls of the store."""
 
     def __init__(self) -> None:
-        """Creates news that need nothing."""
+        """Skips the base class, which needs a transport."""
 
     async def send_heartbeat(self) -> None:
         """Sends nothing."""
@@ -48,12 +51,13 @@
     """An instance.
 
     Attributes:
-      settings: who it is.
-      heard_s: when it hears of the new era, in seconds after the return.
+      settings: its settings.
+      era_known_s: when it learns of the new era, in seconds after the
+        restoration.
     """
 
     settings: settings_lib.ExchangeSettings
-    heard_s: float
+    era_known_s: float
 
     @property
     def data_centre(self) -> str:
@@ -61,11 +65,11 @@
 
     @property
     def name(self) -> str:
-        """Name of its line in the store."""
+        """Name of its entry in the store."""
         return instances.name_object(self.settings.instance_id)
 
     def describe(self) -> instances.ListedInstance:
-        """Returns its line."""
+        """Returns its entry."""
         return listing.describe_entry(
             self.settings.instance_id,
             str(self.settings.peers),
@@ -74,30 +78,31 @@
 
 
 class ReturnFleet:
-    """A fleet from the store's return on.
+    """A fleet from the restoration of the store on.
 
     Attributes:
       members: the instances.
-      lost: names of the lines that the copy lacks.
-      store: the store that came back.
+      lost: names of the entries that the copy lacks.
+      store: the restored store.
     """
 
     def __init__(
         self,
         size: int,
         lost_part: float,
-        rates: backstore.Rates,
+        rates: restoredstore.Rates,
         ready_s: float,
         seed: int,
     ):
         """Creates a fleet.
 
         Args:
-          size: how many instances there are.
-          lost_part: which part of the lines is lost; one line at least is.
-          rates: what the store takes.
-          ready_s: until when the store refuses calls after its return.
-          seed: decides names, which lines are lost, and delays.
+          size: number of instances.
+          lost_part: share of the entries that are lost; at least one is.
+          rates: rate limits of the store.
+          ready_s: seconds after the restoration for which the store refuses
+            calls.
+          seed: seed of names, lost entries and delays.
         """
         self._rng = random.Random(seed)
         self.members = [self._make_member(n) for n in range(size)]
@@ -109,18 +114,18 @@
             for member in self.members
             if member.name not in self.lost
         }
-        self.store = backstore.BackStore(rates, copy, ready_s)
+        self.store = restoredstore.RestoredStore(rates, copy, ready_s)
         self._timers = timer_service.LoopTimers(0.0)
 
-    async def play(self, way: str, length_s: float) -> None:
-        """Lets the instances write again what is lost.
+    async def run(self, way: str, length_s: float) -> None:
+        """Runs the instances, which rewrite the lost entries.
 
         Args:
           way: one of ``WAYS``.
-          length_s: seconds after the return for which they are watched.
+          length_s: length of the run in seconds.
         """
-        plays = self._start_each() if way == EACH else self._start_readers()
-        tasks = [asyncio.create_task(play) for play in plays]
+        runs = self._run_each() if way == EACH else self._run_readers()
+        tasks = [asyncio.create_task(run) for run in runs]
         await asyncio.sleep(length_s)
         for task in tasks:
             task.cancel()
@@ -142,19 +147,19 @@
             store=address,
             bounds=settings_lib.ExchangeBounds(),
         )
-        return Member(settings, self._rng.uniform(0.0, HEARD_WITHIN_S))
+        return Member(settings, self._rng.uniform(0.0, ERA_KNOWN_WITHIN_S))
 
-    def _start_each(self) -> list[Coroutine[Any, Any, None]]:
+    def _run_each(self) -> list[Coroutine[Any, Any, None]]:
         return [self._keep_listed(member) for member in self.members]
 
-    def _start_readers(self) -> list[Coroutine[Any, Any, None]]:
-        return [self._read_for(name) for name in DATA_CENTRES]
+    def _run_readers(self) -> list[Coroutine[Any, Any, None]]:
+        return [self._read_for_data_centre(name) for name in DATA_CENTRES]
 
     async def _keep_listed(self, member: Member) -> None:
-        """Runs what an instance of the product runs."""
+        """Runs the product's code that keeps an instance listed."""
         metrics = metric_store.Metrics()
         eras = era_lib.EraTracker(metrics)
-        eras.take(backstore.COPY_ERA)
+        eras.take(restoredstore.COPY_ERA)
         settings = member.settings
         search = peersearch.PeerSearch(
             settings,
@@ -162,30 +167,32 @@
             peer_table.PeerTable(
                 settings.instance_id, member.data_centre, self._timers
             ),
-            _SilentNews(),
+            _SilentUpdates(),
             self._timers,
             eras,
             metrics,
         )
-        self._timers.call_later(member.heard_s, functools.partial(_hear, eras))
+        self._timers.call_later(
+            member.era_known_s, functools.partial(_start_era, eras)
+        )
         await search.keep_listed()
 
-    async def _read_for(self, data_centre: str) -> None:
-        """Lists once for a data centre and tells whose line is missing."""
+    async def _read_for_data_centre(self, data_centre: str) -> None:
+        """Lists all entries and notifies members whose entry is missing."""
         group = [m for m in self.members if m.data_centre == data_centre]
         if not group:
             return
-        await self._timers.sleep(group[0].heard_s)
-        listed = await self._list_lines()
+        await self._timers.sleep(group[0].era_known_s)
+        listed = await self._list_names()
         await asyncio.gather(
             *(
-                self._write_told(member, member is group[0])
+                self._write_missing(member, member is group[0])
                 for member in group
                 if member.name not in listed
             )
         )
 
-    async def _list_lines(self) -> set[str]:
+    async def _list_names(self) -> set[str]:
         while True:
             try:
                 page = await self.store.list_objects(instances.OBJECT_PREFIX)
@@ -194,24 +201,24 @@
                 continue
             return {stored.name for stored in page.objects}
 
-    async def _write_told(self, member: Member, is_reader: bool) -> None:
-        """Writes a line and lists the others, as they are greeted then.
+    async def _write_missing(self, member: Member, is_reader: bool) -> None:
+        """Writes a missing entry, and lists the others to greet them.
 
         Args:
-          member: whose line is missing.
-          is_reader: whether it saw that itself and need not be told.
+          member: the member whose entry is missing.
+          is_reader: whether it is the reader, which needs no notification.
         """
         if not is_reader:
-            await self._timers.sleep(self._rng.uniform(0.0, TOLD_WITHIN_S))
-        line = listing.Listing(self.store, member.describe())
+            await self._timers.sleep(self._rng.uniform(0.0, NOTIFIED_WITHIN_S))
+        own_entry = listing.Listing(self.store, member.describe())
         while True:
             try:
-                await line.enter(True)
+                await own_entry.enter(True)
             except stores.StoreError:
                 await self._timers.sleep(peersearch.AGAIN_S)
                 continue
             return
 
 
-def _hear(eras: era_lib.EraTracker) -> None:
-    eras.take(backstore.ERA)
+def _start_era(eras: era_lib.EraTracker) -> None:
+    eras.take(restoredstore.ERA)
--- a/rhubarblock/experiments/storereturn/backstore.py
+++ b/rhubarblock/experiments/storereturn/restoredstore.py
@@ -1,4 +1,4 @@
-"""A store in memory that came back older, with the platform's rates."""
+"""An in-memory store, restored from an older copy, with rate limits."""
 
 import asyncio
 import bisect
@@ -9,11 +9,11 @@
 from rhubarblock.core import position as positions
 from rhubarblock.store import store as stores
 
-# Seconds from a call until its answer.
+# Round-trip time of a call in seconds.
 ANSWER_S = 0.004
-# Seconds over which the store counts calls against its rates.
+# Seconds over which the store counts calls against its rate limits.
 WINDOW_S = 1.0
-# The era of the copy, and the one that began as the store came back.
+# The era of the copy, and the one that began when the store was restored.
 COPY_ERA = 1
 ERA = 2
 
@@ -22,27 +22,28 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Rates:
-    """What the store takes.
+    """Rate limits of the store.
 
     Attributes:
-      writes_per_s: writing calls a second.
-      reads_per_s: reading calls a second, lists among them.
+      writes_per_s: writes a second.
+      reads_per_s: reads a second, including lists.
     """
 
     writes_per_s: int
     reads_per_s: int
 
 
-class BackStore(stores.ObjectStore):
-    """The store from the moment at which it came back, its time zero.
+class RestoredStore(stores.ObjectStore):
+    """The store from its restoration on, which is time zero.
 
     Attributes:
-      reads_s: when reads came, refused ones too, in monotonic seconds.
+      reads_s: when reads arrived, including refused ones, in monotonic
+        seconds.
       lists_s: the same for lists.
       writes_s: the same for writes.
-      written_s: when each object was written in this era.
-      limited: calls refused as over the rate.
-      away: calls refused as the store was not ready.
+      written_s: when each object was last written in this era, by name.
+      limited: calls refused by the rate limits.
+      away: calls refused because the store was not ready.
     """
 
     def __init__(
@@ -51,9 +52,10 @@
         """Creates a store.
 
         Args:
-          rates: what it takes.
-          copy: the objects that the copy has, by name.
-          ready_s: until when it refuses every call.
+          rates: its rate limits.
+          copy: the objects in the copy, by name.
+          ready_s: time until which it refuses every call, in monotonic
+            seconds.
         """
         self.reads_s: list[float] = []
         self.lists_s: list[float] = []
@@ -63,8 +65,8 @@
         self.away = 0
         self._rates = rates
         self._ready_s = ready_s
-        self._taken_reads_s: list[float] = []
-        self._taken_writes_s: list[float] = []
+        self._accepted_reads_s: list[float] = []
+        self._accepted_writes_s: list[float] = []
         self._revision = len(copy)
         self._objects = {
             name: stores.StoredObject(
@@ -74,7 +76,7 @@
         }
 
     def find_missing(self, names: Iterable[str]) -> set[str]:
-        """Returns which of some objects are not there."""
+        """Returns the given names for which there is no object."""
         return set(names) - self._objects.keys()
 
     async def read(self, name: str) -> stores.StoredObject:
@@ -101,7 +103,7 @@
         self, name: str, value: bytes, expected_version: positions.Position
     ) -> stores.StoredObject:
         await self._arrive(self.writes_s)
-        self._admit(self._taken_writes_s, self._rates.writes_per_s)
+        self._admit(self._accepted_writes_s, self._rates.writes_per_s)
         present = self._objects.get(name)
         version = present.version if present else positions.NOWHERE
         if version != expected_version:
@@ -125,32 +127,32 @@
         raise NotImplementedError("nobody watches here")
 
     async def _arrive(self, calls_s: list[float]) -> None:
-        """Brings a call to the store and counts it."""
+        """Delays a call by half the round trip and records its arrival."""
         await asyncio.sleep(ANSWER_S / 2.0)
         calls_s.append(_read_clock())
 
     def _admit_read(self) -> None:
-        self._admit(self._taken_reads_s, self._rates.reads_per_s)
+        self._admit(self._accepted_reads_s, self._rates.reads_per_s)
 
-    def _admit(self, taken_s: list[float], limit: int) -> None:
-        """Takes a call or refuses it.
+    def _admit(self, accepted_s: list[float], limit: int) -> None:
+        """Accepts or refuses a call.
 
         Args:
-          taken_s: when earlier calls of this kind were taken.
-          limit: how many are taken within ``WINDOW_S``.
+          accepted_s: when earlier calls of this kind were accepted.
+          limit: most calls that are accepted within ``WINDOW_S``.
 
         Raises:
-          store.StoreError: the store is not ready, or took too many.
+          store.StoreError: the store is not ready, or the rate is exceeded.
         """
         now_s = _read_clock()
         if now_s < self._ready_s:
             self.away += 1
             raise stores.StoreError(_Kind.UNAVAILABLE)
         begin_s = now_s - WINDOW_S
-        if len(taken_s) - bisect.bisect_right(taken_s, begin_s) >= limit:
+        if len(accepted_s) - bisect.bisect_right(accepted_s, begin_s) >= limit:
             self.limited += 1
             raise stores.StoreError(_Kind.RATE_LIMITED)
-        taken_s.append(now_s)
+        accepted_s.append(now_s)
 
 
 def _read_clock() -> float:
--- a/rhubarblock/experiments/storereturn/scenario.py
+++ b/rhubarblock/experiments/storereturn/scenario.py
@@ -1,61 +1,61 @@
-"""The scenario ``store-return``: the store comes back without some lines.
+"""The scenario ``store-return``: the store is restored without some entries.
 
-Each instance has one line in it. The ways in which lost lines are written
-again are compared.
+Each instance has one entry (a line of the list) in it. The scenario compares
+the ways in which lost entries are rewritten.
 """
 
 import bisect
 import dataclasses
 
-from rhubarblock.experiments.storereturn import backstore
 from rhubarblock.experiments.storereturn import fleet as fleets
+from rhubarblock.experiments.storereturn import restoredstore
 from rhubarblock.kernel import virtualloop
 
-# What the platform's store takes, by the largest fleet with such a store.
+# Rate limits of the platform's store, by the largest fleet that it serves.
 RATES = {
-    7: backstore.Rates(400, 2_000),
-    80: backstore.Rates(1_200, 6_000),
-    300: backstore.Rates(3_200, 16_000),
+    7: restoredstore.Rates(400, 2_000),
+    80: restoredstore.Rates(1_200, 6_000),
+    300: restoredstore.Rates(3_200, 16_000),
 }
 SIZES = tuple(RATES)
-# Part of the lines that is lost, by variant.
+# Share of the entries that are lost, by variant.
 TENTH = "tenth"
 ALL = "all"
 LOST_PARTS = {TENTH: 0.1, ALL: 1.0}
-# Seconds for which the store refuses calls after its return, by variant.
+# Seconds after the restoration for which the store refuses calls, by variant.
 READY = "ready"
 AWAY = "away"
 AWAY_S = {READY: 0.0, AWAY: 0.5}
-# Seconds after the return for which a fleet is watched.
+# Seconds from the restoration to the end of a run.
 LENGTH_S = 6.0
-# Seconds over which the most calls are counted.
+# Length in seconds of the window for the peak rates.
 WINDOW_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StoreReturnResult:
-    """What the scenario measured.
+    """Results of one run.
 
     Attributes:
-      instances: how many there were.
+      instances: number of instances.
       lines: a key of ``LOST_PARTS``.
       store: a key of ``AWAY_S``.
       way: one of ``fleets.WAYS``.
       seed: seed of the run.
-      lost: lines that the store came back without.
-      whole_s: seconds from the return until all lines are there; None if some
-        never were.
-      own_s: most seconds from when an instance heard of the new era until its
-        lost line is there; None as above.
-      reads: reads of one line.
-      lists: reads of all lines.
+      lost: number of lost entries.
+      whole_s: seconds from the restoration until all entries are written;
+        None if some never were.
+      own_s: longest time from when an instance learned of the new era until
+        its lost entry was written; None as above.
+      reads: reads of a single entry.
+      lists: reads of all entries.
       writes: writes.
       most_reads: most reads and lists in any second.
-      reads_per_s: what the store takes of them.
+      reads_per_s: rate limit of the store for them.
       most_writes: most writes in any second.
-      writes_per_s: what the store takes of them.
-      limited: calls refused as over the rate.
-      away: calls refused as the store was not ready.
+      writes_per_s: rate limit of the store for them.
+      limited: calls refused by the rate limits.
+      away: calls refused because the store was not ready.
     """
 
     instances: int
@@ -91,12 +91,12 @@
 
     Args:
       way: one of ``fleets.WAYS``.
-      instances: how many there are.
+      instances: number of instances.
       lines: a key of ``LOST_PARTS``.
       store: a key of ``AWAY_S``.
-      seed: decides names, which lines are lost, and delays.
+      seed: seed of names, lost entries and delays.
     """
-    return virtualloop.run(_play(way, instances, lines, store, seed))
+    return virtualloop.run(_run(way, instances, lines, store, seed))
 
 
 def make_table(results: list[StoreReturnResult]) -> str:
@@ -112,16 +112,16 @@
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
-async def _play(
+async def _run(
     way: str, instances: int, lines: str, store: str, seed: int
 ) -> StoreReturnResult:
     rates = find_rates(instances)
     fleet = fleets.ReturnFleet(
         instances, LOST_PARTS[lines], rates, AWAY_S[store], seed
     )
-    await fleet.play(way, LENGTH_S)
-    back = fleet.store
-    whole_s, own_s = _find_times(fleet)
+    await fleet.run(way, LENGTH_S)
+    store_after = fleet.store
+    whole_s, own_s = _compute_times(fleet)
     return StoreReturnResult(
         instances,
         lines,
@@ -131,38 +131,41 @@
         len(fleet.lost),
         whole_s,
         own_s,
-        len(back.reads_s),
-        len(back.lists_s),
-        len(back.writes_s),
-        _count_most(back.reads_s + back.lists_s),
+        len(store_after.reads_s),
+        len(store_after.lists_s),
+        len(store_after.writes_s),
+        _count_peak(store_after.reads_s + store_after.lists_s),
         rates.reads_per_s,
-        _count_most(back.writes_s),
+        _count_peak(store_after.writes_s),
         rates.writes_per_s,
-        back.limited,
-        back.away,
+        store_after.limited,
+        store_after.away,
     )
 
 
-def find_rates(instances: int) -> backstore.Rates:
-    """Returns the rates of the smallest store for a fleet, or the largest."""
+def find_rates(instances: int) -> restoredstore.Rates:
+    """Returns the rates of the smallest store that serves a fleet.
+
+    A fleet that is larger than all of ``SIZES`` gets the largest store.
+    """
     fitting = [size for size in SIZES if size >= instances]
     return RATES[fitting[0] if fitting else SIZES[-1]]
 
 
-def _find_times(
+def _compute_times(
     fleet: fleets.ReturnFleet,
 ) -> tuple[float | None, float | None]:
-    """Returns when the fleet was whole, and the longest of one instance."""
+    """Returns ``whole_s`` and ``own_s`` of a result."""
     if fleet.store.find_missing(member.name for member in fleet.members):
         return None, None
     written_s = fleet.store.written_s
-    heard_s = {member.name: member.heard_s for member in fleet.members}
+    era_known_s = {member.name: member.era_known_s for member in fleet.members}
     whole_s = max(written_s[name] for name in fleet.lost)
-    own_s = max(written_s[name] - heard_s[name] for name in fleet.lost)
+    own_s = max(written_s[name] - era_known_s[name] for name in fleet.lost)
     return round(whole_s, 3), round(own_s, 3)
 
 
-def _count_most(calls_s: list[float]) -> int:
+def _count_peak(calls_s: list[float]) -> int:
     """Returns the most calls in any ``WINDOW_S``."""
     ordered = sorted(calls_s)
     return max(
--- a/rhubarblock/experiments/workload.py
+++ b/rhubarblock/experiments/workload.py
@@ -1,9 +1,9 @@
-"""The mix of prompts of the measurements.
+"""Draws the prompts of the measurements from a seed.
 
 Prompt lengths are log-normal with a median of 3,000 tokens and one in fifty
-over 100,000, cut at 1,000,000; outputs are log-normal with a median of 150.
-Half of the prompts share a prefix of 1,000 to 4,000 tokens with the others of
-their workspace. All of it follows from a seed.
+over 100,000, truncated at 1,000,000; output lengths are log-normal with a
+median of 150. Half of the prompts share a prefix of 1,000 to 4,000 tokens with
+the others of their workspace.
 """
 
 from collections.abc import Iterator
@@ -28,7 +28,7 @@
 PREFIX_SHARE = 0.5
 PREFIX_RANGE = (1_000, 4_000)
 BLOCK_TOKENS = 512
-# Seconds that every request has, and a multiple of its time when idle.
+# A deadline is this floor plus a multiple of the time on an idle fleet.
 DEADLINE_FLOOR_S = 10.0
 DEADLINE_RATIO = 4.0
 
@@ -50,11 +50,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Arrival:
-    """A request and when it comes.
+    """A request and its arrival time.
 
     Attributes:
-      at_s: seconds from the start.
-      request: the request; its times count from its arrival.
+      at_s: seconds from the start of the run.
+      request: the request; its deadline is relative to its arrival.
     """
 
     at_s: float
@@ -62,16 +62,16 @@
 
 
 def mean_prompt() -> float:
-    """Returns the mean prompt length in tokens, cut at the longest one."""
+    """Returns the mean of the truncated prompt lengths in tokens."""
     mu = math.log(MEDIAN_PROMPT)
     cut = (math.log(LONGEST_PROMPT) - mu) / PROMPT_SIGMA
     uncut_mean = math.exp(mu + PROMPT_SIGMA**2 / 2)
-    below = uncut_mean * _normal_share(cut - PROMPT_SIGMA)
-    return below + LONGEST_PROMPT * (1 - _normal_share(cut))
+    below = uncut_mean * _normal_cdf(cut - PROMPT_SIGMA)
+    return below + LONGEST_PROMPT * (1 - _normal_cdf(cut))
 
 
-def _normal_share(quantile: float) -> float:
-    """Returns the share of a standard normal below a quantile."""
+def _normal_cdf(quantile: float) -> float:
+    """Returns the cumulative standard normal distribution at a quantile."""
     return (1 + math.erf(quantile / math.sqrt(2))) / 2
 
 
@@ -98,7 +98,7 @@
 
 
 def choose_deadline(prompt_tokens: int, output_tokens: int) -> float:
-    """Returns the seconds that a request of these lengths is given."""
+    """Returns the relative deadline in seconds of a request of this size."""
     idle_s = idle.predict_total(prompt_tokens, output_tokens)
     return DEADLINE_FLOOR_S + DEADLINE_RATIO * idle_s
 
@@ -113,15 +113,15 @@
     """Draws a Poisson stream of requests.
 
     Args:
-      rng: seeded source.
-      tenants: who sends.
+      rng: seeded generator.
+      tenants: workspaces that send.
       requests_per_s: mean rate of all of them together.
-      duration_s: seconds over which they come.
-      model: model that they ask for.
+      duration_s: seconds over which requests arrive.
+      model: requested model.
 
     Yields:
-      The requests in order of arrival. ``deadline_s`` counts from arrival:
-      a floor and a multiple of what the request takes on an idle fleet.
+      The requests in order of arrival; ``deadline_s`` is relative to the
+      arrival.
     """
     prefixes = {
         tenant.workspace: rng.randint(*PREFIX_RANGE) for tenant in tenants
