--- a/rhubarblock/daemon/exchangeinstance_test.py
+++ b/rhubarblock/daemon/exchangeinstance_test.py
@@ -73,7 +73,7 @@
 
     def report_era(self):
         for eras in self.eras:
-            eras.take(self.era or None)
+            eras.validate(self.era or None)
         return positions.Position(self.era, 1)
 
     async def read(self, name):
--- a/rhubarblock/daemon/peersearch.py
+++ b/rhubarblock/daemon/peersearch.py
@@ -106,7 +106,7 @@
         instance.
         """
         era_changed = asyncio.Event()
-        self._eras.listen(era_changed.set)
+        self._eras.add_listener(era_changed.set)
         while True:
             await era_changed.wait()
             era_changed.clear()
--- a/rhubarblock/exchange/state/feed.py
+++ b/rhubarblock/exchange/state/feed.py
@@ -327,7 +327,7 @@
         era = int(fields.get("era", 0)) or None
         if era is None and not self._eras.has_changed:
             return self._eras.current
-        return self._eras.take(era)
+        return self._eras.validate(era)
 
     def forget(self) -> None:
         """Resets all cursors, as the list now comes from another source."""
--- a/rhubarblock/exchange/state/feed_test.py
+++ b/rhubarblock/exchange/state/feed_test.py
@@ -66,7 +66,7 @@
             Dialect(), self.config_lease, self.directory, timers
         )
         self.eras = era_lib.EraTracker(metric_store.Metrics())
-        self.eras.listen(self.replica.begin_era)
+        self.eras.add_listener(self.replica.begin_era)
         self.subsets = subsets.Subsets(self.directory, engines)
         self.server = statefeed.StateServer(
             self.replica,
@@ -487,7 +487,7 @@
 
 def read_both(reader, era, *entries, version=3):
     """Lets the reader read the store in an era."""
-    reader.eras.take(era)
+    reader.eras.validate(era)
     reader.replica.apply_configuration(table(version, "k"), 100.0, era)
     reader.replica.apply_listing(entries, at=positions.Position(era, 50))
 
@@ -527,7 +527,7 @@
     async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
         await client.poll(address, 0.0)
-        requester.eras.take(2)
+        requester.eras.validate(2)
         reader.replica.apply_change(entry("a", b"", True, 9, 1))
         with pytest.raises(statefeed.FeedError):
             await client.poll(address, 0.0)
@@ -541,8 +541,8 @@
 
     async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
-        reader.eras.take(2)
-        requester.eras.take(2)
+        reader.eras.validate(2)
+        requester.eras.validate(2)
         with pytest.raises(statefeed.FeedError):
             await client.poll(address, 0.0)
         return requester.usable()
@@ -571,7 +571,7 @@
     async def step(reader, requester, client, address, queries):
         read_both(reader, 1, entry("a", era=1))
         await client.poll(address, 0.0)
-        reader.eras.take(2)
+        reader.eras.validate(2)
         reader.replica.apply_configuration(table(3, "other"), 100.0, 2)
         reader.replica.apply_listing(
             [entry("a", era=2)], at=positions.Position(2, 50)
@@ -603,10 +603,10 @@
     async def step(reader, requester, client, address, queries):
         reader.replica.apply_configuration(table(3, "k"), 100.0)
         reader.replica.apply_listing([entry("a")])
-        requester.eras.take(4)
+        requester.eras.validate(4)
         await client.poll(address, 0.0)
         seen = requester.usable()
-        requester.eras.take(5)
+        requester.eras.validate(5)
         with pytest.raises(statefeed.FeedError):
             await client.poll(address, 0.0)
         return seen
--- a/rhubarblock/exchange/state/follower.py
+++ b/rhubarblock/exchange/state/follower.py
@@ -156,7 +156,7 @@
         self._eras = eras
         # Set when the list must be read again.
         self._has_new_era = asyncio.Event()
-        eras.listen(self._begin_era)
+        eras.add_listener(self._begin_era)
         self._store = store
         self._dialect = dialect
         self._replica = replica
--- a/rhubarblock/exchange/state/follower_test.py
+++ b/rhubarblock/exchange/state/follower_test.py
@@ -46,7 +46,7 @@
         self.events = asyncio.Queue()
 
     def at(self):
-        era = self.eras.take(self.era or None) if self.eras else 0
+        era = self.eras.validate(self.era or None) if self.eras else 0
         return positions.Position(era, self.revision)
 
     def put(self, name, value=b"ready"):
--- a/rhubarblock/experiments/storereturn/fleet.py
+++ b/rhubarblock/experiments/storereturn/fleet.py
@@ -159,7 +159,7 @@
         """Runs the product's code that keeps an instance listed."""
         metrics = metric_store.Metrics()
         eras = era_lib.EraTracker(metrics)
-        eras.take(restoredstore.COPY_ERA)
+        eras.validate(restoredstore.COPY_ERA)
         settings = member.settings
         search = peersearch.PeerSearch(
             settings,
@@ -221,4 +221,4 @@
 
 
 def _start_era(eras: era_lib.EraTracker) -> None:
-    eras.take(restoredstore.ERA)
+    eras.validate(restoredstore.ERA)
--- a/rhubarblock/platform/objectstore.py
+++ b/rhubarblock/platform/objectstore.py
@@ -203,7 +203,7 @@
         era = int(text) if _ERA.fullmatch(text) else None
         if era is None and response.status >= 300:
             return self._eras.current
-        return self._eras.take(era)
+        return self._eras.validate(era)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/rhubarblock/store/era.py
+++ b/rhubarblock/store/era.py
@@ -42,11 +42,11 @@
         """Whether the store was restored since this instance started."""
         return self._era > self._first
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Calls a listener on each later change of the era."""
         self._listeners.append(listener)
 
-    def take(self, era: int | None) -> int:
+    def validate(self, era: int | None) -> int:
         if era is None:
             if self._era:
                 self._metrics.count("store.answers.no_era")
--- a/rhubarblock/store/store.py
+++ b/rhubarblock/store/store.py
@@ -74,7 +74,7 @@
         """The current era; 0 while none is known."""
 
     @abc.abstractmethod
-    def take(self, era: int | None) -> int:
+    def validate(self, era: int | None) -> int:
         """Validates and records the era that a response names.
 
         Args:
