--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -10,8 +10,8 @@
 from rhubarblock.core import listed as lists
 from rhubarblock.experiments.platform import mix as mixes
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
+from rhubarblock.routing.placement import splitpolicy
 
 ROUNDS = 200
 SEED = 7
@@ -50,7 +50,7 @@
     """Returns the milliseconds that one choice takes, the least of three."""
     engines = make_engines(engine_count)
     book = fill_book(engines, random.Random(SEED))
-    policy = parting.Parter(book, "0")
+    policy = splitpolicy.SplitPromptPolicy(book, "0")
     prompt = prompts.Prompt("p", tokens, 1_800, 0.25, 0.321, False)
     taken = []
     for _ in range(3):
--- a/rhubarblock/exchange/candidates_test.py
+++ b/rhubarblock/exchange/candidates_test.py
@@ -75,7 +75,7 @@
         now_s = asyncio.get_running_loop().time()
         instance.health.note_unreachable("e1", "osu-hall", now_s)
         seen = [instance.list_for()]
-        await asyncio.sleep(healths.FIRST_S)
+        await asyncio.sleep(healths.INITIAL_BACKOFF_S)
         seen.append(instance.list_for(candidates.TRIAL_TOKENS))
         seen.append(instance.list_for(candidates.TRIAL_TOKENS + 1))
         return seen
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -226,7 +226,7 @@
         if wait_s is None:
             return None
         rates = [self.find_rate(e.endpoint_id) or 0.0 for e in endpoints]
-        rate = max(sum(rates), coordinators.TRIAL_PER_S)
+        rate = max(sum(rates), coordinators.PROBE_PER_S)
         spread_s = min(MAX_SPREAD_S, 1.0 / rate)
         return wait_s + max(MIN_SPREAD_S, spread_s) * self._rng.random()
 
@@ -285,7 +285,7 @@
 
     def _is_older(self, endpoint_id: str, min_heard_s: float) -> bool:
         limit = self._table.find(endpoint_id)
-        return limit is not None and limit.statement.heard_s < min_heard_s
+        return limit is not None and limit.statement.received_s < min_heard_s
 
     def _send_report(self, endpoint_id: str) -> None:
         now_s = self._timers.read_monotonic()
--- a/rhubarblock/exchange/peering/limitupdates.py
+++ b/rhubarblock/exchange/peering/limitupdates.py
@@ -150,7 +150,7 @@
         report.endpoint_id,
         report.per_s,
         _to_ms(report.sent_age_s),
-        _to_ms(report.heard_age_s),
+        _to_ms(report.received_age_s),
     ]
 
 
--- a/rhubarblock/exchange/placer.py
+++ b/rhubarblock/exchange/placer.py
@@ -18,8 +18,8 @@
 from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
+from rhubarblock.routing.placement import splitpolicy
 
 # Longest prompt in tokens that is prefilled again elsewhere to spare its caller
 # a pause: this prefill takes a tenth of a second.
@@ -46,7 +46,7 @@
         "_limits",
         "_updates",
         "_numbers",
-        "_parter",
+        "_prompt_policy",
         "_cooldowns",
         "_timers",
     )
@@ -85,7 +85,9 @@
         self._updates = updates
         self._timers = timers
         self._data_centre = data_centre
-        self._parter = parting.Parter(job_tracker, data_centre)
+        self._prompt_policy = splitpolicy.SplitPromptPolicy(
+            job_tracker, data_centre
+        )
         self._calls = callbalancer.CallBalancer(health, data_centre, timers)
         self._numbers = 0
 
@@ -217,12 +219,14 @@
         prompt = _make_prompt(exchange, "", flow.sink.begun, now_s)
         # Checked first: most prompts are short, and need no list of endpoints
         # here.
-        if not self._parter.may_defer(prompt, model):
+        if not self._prompt_policy.may_defer(prompt, model):
             return 0.0
         endpoints = self._candidates.list_for(
             exchange, flow.history.failed_endpoints
         )
-        return self._parter.find_start_delay(prompt, endpoints, model, now_s)
+        return self._prompt_policy.find_start_delay(
+            prompt, endpoints, model, now_s
+        )
 
     def can_move(
         self, flow: flows.Flow, placement: placements.Placement, is_busy: bool
@@ -261,7 +265,7 @@
             return placements.SERVICE_S
         now_s = self._timers.read_monotonic()
         prompt = _make_prompt(exchange, "", flow.sink.begun, now_s)
-        choice = self._parter.choose(prompt, endpoints, model, now_s)
+        choice = self._prompt_policy.choose(prompt, endpoints, model, now_s)
         return max(choice.expected_s, choice.pause_s) if choice else None
 
     @contextlib.contextmanager
@@ -335,7 +339,7 @@
         now_s: float,
     ) -> Iterator[placements.Placement | None]:
         self._job_tracker.expire(now_s)
-        choice = self._parter.choose(prompt, endpoints, model, now_s)
+        choice = self._prompt_policy.choose(prompt, endpoints, model, now_s)
         if choice is None:
             yield None
             return
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/play.py
@@ -22,9 +22,9 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import promptpolicy
+from rhubarblock.routing.placement import splitpolicy
 from rhubarblock.standins.engine import passes as passengine
 
 TrackerUpdate = Callable[[jobtracker.JobTracker], None]
@@ -136,7 +136,7 @@
 
 def measure(
     plan: mixes.Plan,
-    policy: str = parting.Parter.plugin_name,
+    policy: str = splitpolicy.SplitPromptPolicy.plugin_name,
     seed: int = 1,
     load: float = 1.0,
     length_s: float = LENGTH_S,
@@ -373,7 +373,7 @@
 
 def _find_policy(name: str) -> type[promptpolicy.PromptPolicy]:
     if name == ORACLE:
-        return parting.Parter
+        return splitpolicy.SplitPromptPolicy
     registry = registries.Registry()
     registry.load(registries.default_modules())
     return registry.get(promptpolicy.PLUGIN_GROUP, name)
--- a/rhubarblock/plugins/parted.py
+++ b/rhubarblock/plugins/parted.py
@@ -1,7 +1,7 @@
 """The policy that places and splits prompts by the predicted engine steps."""
 
-from rhubarblock.routing.placement import parting
+from rhubarblock.routing.placement import splitpolicy
 
-__plugins__ = ("Parter",)
+__plugins__ = ("SplitPromptPolicy",)
 
-Parter = parting.Parter
+SplitPromptPolicy = splitpolicy.SplitPromptPolicy
--- a/rhubarblock/plugins/parted_at_once.py
+++ b/rhubarblock/plugins/parted_at_once.py
@@ -5,13 +5,13 @@
 """
 
 from rhubarblock.core import route as routes
-from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import prompt as prompts
+from rhubarblock.routing.placement import splitpolicy
 
-__plugins__ = ("PartedAtOnce",)
+__plugins__ = ("ImmediateSplitPolicy",)
 
 
-class PartedAtOnce(parting.Parter):
+class ImmediateSplitPolicy(splitpolicy.SplitPromptPolicy):
     """Places each prompt when it arrives and never defers it."""
 
     plugin_name = "parted_at_once"
--- a/rhubarblock/routing/endpointlimits/coordinator.py
+++ b/rhubarblock/routing/endpointlimits/coordinator.py
@@ -19,7 +19,7 @@
 PLEDGE_S = 8.0
 # Requests a second that go to an endpoint whatever limit it announces: without
 # any request it could never announce that the limit has ended.
-TRIAL_PER_S = 0.1
+PROBE_PER_S = 0.1
 # Target for the permit requests of one endpoint in a second; instances that get
 # no permit retry at random times so that few more arrive.
 MAX_REQUESTS_PER_S = 20.0
@@ -151,4 +151,4 @@
             state.counted_s = now_s
         pledged = state.count_pledged(now_s)
         part = min(1.0, pledged / max(1, state.users))
-        return max(per_s, TRIAL_PER_S) * part
+        return max(per_s, PROBE_PER_S) * part
--- a/rhubarblock/routing/endpointlimits/limittable.py
+++ b/rhubarblock/routing/endpointlimits/limittable.py
@@ -30,12 +30,12 @@
     Attributes:
       per_s: requests a second from all instances together; None for no limit.
       sent_s: when its request was sent, in monotonic seconds.
-      heard_s: when the head of the answer arrived, in monotonic seconds.
+      received_s: when the head of the answer arrived, in monotonic seconds.
     """
 
     per_s: float | None
     sent_s: float
-    heard_s: float
+    received_s: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -132,7 +132,7 @@
         if last is not None and not _replaces(statement, last):
             return False
         before = known.per_s if known else None
-        since_s = known.since_s if known else statement.heard_s
+        since_s = known.since_s if known else statement.received_s
         self._store(endpoint_id, statement, since_s)
         if per_s == before:
             return False
@@ -143,7 +143,7 @@
                 "endpoint": endpoint_id,
                 "before_per_s": before,
                 "after_per_s": per_s,
-                "named_for_s": round(statement.heard_s - since_s, 3),
+                "named_for_s": round(statement.received_s - since_s, 3),
                 "source": source,
             },
         )
@@ -163,7 +163,10 @@
         if last is None:
             return None
         return messages.LimitReport(
-            endpoint_id, last.per_s, now_s - last.sent_s, now_s - last.heard_s
+            endpoint_id,
+            last.per_s,
+            now_s - last.sent_s,
+            now_s - last.received_s,
         )
 
     def receive(self, report: messages.LimitReport, now_s: float) -> bool:
@@ -173,7 +176,9 @@
           Whether the limit changed.
         """
         statement = Statement(
-            report.per_s, now_s - report.sent_age_s, now_s - report.heard_age_s
+            report.per_s,
+            now_s - report.sent_age_s,
+            now_s - report.received_age_s,
         )
         return self.take(report.endpoint_id, statement, "peer")
 
@@ -203,9 +208,9 @@
 
 def _replaces(statement: Statement, last: Statement) -> bool:
     """Says whether a statement replaces the previous one."""
-    if statement.sent_s >= last.heard_s:
+    if statement.sent_s >= last.received_s:
         return True
-    if statement.heard_s <= last.sent_s:
+    if statement.received_s <= last.sent_s:
         return False
     if statement.per_s is None:
         return False
--- a/rhubarblock/routing/endpointlimits/limittable_test.py
+++ b/rhubarblock/routing/endpointlimits/limittable_test.py
@@ -15,8 +15,10 @@
     """
     table = limittables.LimitTable(metric_store.Metrics())
     changes = [
-        table.note_answer("e1", ratelimits.StatedLimit(per_s), sent_s, heard_s)
-        for per_s, sent_s, heard_s in answers
+        table.note_answer(
+            "e1", ratelimits.StatedLimit(per_s), sent_s, received_s
+        )
+        for per_s, sent_s, received_s in answers
     ]
     return table, changes
 
--- a/rhubarblock/routing/endpointlimits/messages.py
+++ b/rhubarblock/routing/endpointlimits/messages.py
@@ -14,13 +14,13 @@
       endpoint_id: the endpoint.
       per_s: requests a second from all instances together; None for no limit.
       sent_age_s: seconds since the request was sent that the endpoint answered.
-      heard_age_s: seconds since the answer arrived.
+      received_age_s: seconds since the answer arrived.
     """
 
     endpoint_id: str
     per_s: float | None
     sent_age_s: float
-    heard_age_s: float
+    received_age_s: float
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/rhubarblock/routing/health.py
+++ b/rhubarblock/routing/health.py
@@ -13,7 +13,7 @@
 # Initial and largest backoff of an endpoint, in seconds. A restart takes some
 # seconds; the initial backoff is shorter than callers' patience, as a single
 # failure may be due to the network path and not to the endpoint.
-FIRST_S = 0.7
+INITIAL_BACKOFF_S = 0.7
 MAX_BACKOFF_S = 4.0
 # Seconds for which one request probes an endpoint before another one may.
 PROBE_S = 1.0
@@ -76,7 +76,7 @@
         if now_s < state.until_s:
             # Requests sent before the backoff began add no information.
             return False
-        backoff_s = min(MAX_BACKOFF_S, FIRST_S * 2.0**state.failures)
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**state.failures)
         state.failures += 1
         state.until_s = now_s + backoff_s
         state.probe_until_s = 0.0
--- a/rhubarblock/routing/placement/parting.py
+++ b/rhubarblock/routing/placement/splitpolicy.py
@@ -35,7 +35,7 @@
 MIN_DEFER_GAIN = 0.5
 
 
-class Parter(promptpolicy.PromptPolicy):
+class SplitPromptPolicy(promptpolicy.PromptPolicy):
     """Places prompts by the predictions of the job tracker."""
 
     plugin_name = "parted"
--- a/rhubarblock/routing/placement/parting_test.py
+++ b/rhubarblock/routing/placement/splitpolicy_test.py
@@ -7,9 +7,9 @@
 from rhubarblock.core import listed
 from rhubarblock.exchange import fakeparts_test as fakes
 from rhubarblock.routing.placement import jobtracker
-from rhubarblock.routing.placement import parting
 from rhubarblock.routing.placement import partplan
 from rhubarblock.routing.placement import prompt as prompts
+from rhubarblock.routing.placement import splitpolicy
 
 MODEL = fakes.MODEL
 
@@ -44,7 +44,9 @@
 
 
 def choose(tracker, prompt, engines, now_s=0.0):
-    return parting.Parter(tracker, "osu").choose(prompt, engines, MODEL, now_s)
+    return splitpolicy.SplitPromptPolicy(tracker, "osu").choose(
+        prompt, engines, MODEL, now_s
+    )
 
 
 def names(choice):
@@ -143,7 +145,7 @@
         MODEL, prefill_tokens_per_ms=10_000.0, pair_ms=0.0
     )
     huge = make_prompt(700_000, 0.8, 3.0)
-    choice = parting.Parter(make_tracker(), "osu").choose(
+    choice = splitpolicy.SplitPromptPolicy(make_tracker(), "osu").choose(
         huge, make_engines(6), fast, 0.0
     )
     held = [part.tokens for part in choice.job.parts]
@@ -198,7 +200,7 @@
 
 
 def find_start_delay(tracker, prompt, engines, now_s=0.0):
-    policy = parting.Parter(tracker, "osu")
+    policy = splitpolicy.SplitPromptPolicy(tracker, "osu")
     return policy.find_start_delay(prompt, engines, MODEL, now_s)
 
 
@@ -300,7 +302,7 @@
     )
     engines = make_engines(4)
     tracker = make_tracker()
-    policy = parting.Parter(tracker, "osu")
+    policy = splitpolicy.SplitPromptPolicy(tracker, "osu")
     giant = make_prompt(tokens, 0.8, 30.0)
     first = policy.choose(giant, engines, model, 0.0)
     tracker.add(first.job, 0.0)
--- a/rhubarblock/scripts/measure.py
+++ b/rhubarblock/scripts/measure.py
@@ -28,7 +28,7 @@
 from rhubarblock.experiments.storereturn import scenario as storereturn
 from rhubarblock.kernel import registry as registries
 from rhubarblock.kernel import virtualloop
-from rhubarblock.routing.placement import parting
+from rhubarblock.routing.placement import splitpolicy
 from rhubarblock.scripts import measurecosts
 
 DEFAULT_LOAD = 0.7
@@ -87,7 +87,9 @@
 
     @measure_group.command(plan.name)
     @click.option(
-        "--policy", default=parting.Parter.plugin_name, show_default=True
+        "--policy",
+        default=splitpolicy.SplitPromptPolicy.plugin_name,
+        show_default=True,
     )
     @seed_option
     @click.option(
