--- a/rhubarblock/exchange/candidates.py
+++ b/rhubarblock/exchange/candidates.py
@@ -19,7 +19,7 @@
 
 # Jitter in seconds on the Retry-After of callers that a cool-down refused: the
 # first of them probes the endpoint.
-REST_SPREAD_S = 1.0
+COOLDOWN_SPREAD_S = 1.0
 # Longest prompt in tokens that may probe an endpoint that failed.
 TRIAL_TOKENS = 8_000
 
@@ -173,7 +173,7 @@
             # An endpoint that refused this request may accept the next one.
             cooldown_s = self._find_cooldown_end(exchange, set())
         if cooldown_s is not None:
-            cooldown_s += REST_SPREAD_S * self._rng.random()
+            cooldown_s += COOLDOWN_SPREAD_S * self._rng.random()
             if permit_s is None or cooldown_s < permit_s:
                 return RetryAdvice(cooldown_s, "endpoints ask for rest")
         if permit_s is None:
@@ -212,16 +212,16 @@
         Requests a permit if one could be used.
         """
         used = self._list_not_cooling_down(exchange, avoid)
-        usable = self._limits.select_open(used)
+        usable = self._limits.select_available(used)
         if len(usable) == len(used):
             return used
         if not usable or exchange.prompt_tokens <= TRIAL_TOKENS:
             now_s = self._timers.read_monotonic()
             max_wait_s = endpointlimits.find_max_wait(exchange, now_s)
-            within_s = max(endpointlimits.LEAST_WITHIN_S, max_wait_s)
-            self._limits.ask(used, exchange.request_id, within_s)
+            within_s = max(endpointlimits.MIN_PERMIT_WAIT_S, max_wait_s)
+            self._limits.request_permit(used, exchange.request_id, within_s)
             # This instance may grant the permit itself.
-            usable = self._limits.select_open(used)
+            usable = self._limits.select_available(used)
         return usable
 
     def _list_not_cooling_down(
--- a/rhubarblock/exchange/candidates_test.py
+++ b/rhubarblock/exchange/candidates_test.py
@@ -155,7 +155,7 @@
 
     seen, predicted_s, advice = run(step, 2)
     assert (seen, predicted_s) == ([None, None], 3.0)
-    assert 3.0 <= advice.after_s <= 3.0 + candidates.REST_SPREAD_S
+    assert 3.0 <= advice.after_s <= 3.0 + candidates.COOLDOWN_SPREAD_S
     assert advice.reason == "endpoints ask for rest"
 
 
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -32,7 +32,7 @@
 WAIT_FRACTION = 0.3
 # Minimum in seconds of the time within which a requested permit must arrive:
 # the next request uses it if this one has gone elsewhere.
-LEAST_WITHIN_S = 0.2
+MIN_PERMIT_WAIT_S = 0.2
 # Bounds in seconds of the jitter on the Retry-After of refused callers.
 MIN_SPREAD_S = 0.5
 MAX_SPREAD_S = 5.0
@@ -131,7 +131,7 @@
         limit = self._table.find(endpoint_id)
         return limit.per_s if limit else None
 
-    def select_open(
+    def select_available(
         self, endpoints: list[lists.ListedEndpoint]
     ) -> list[lists.ListedEndpoint]:
         """Returns the endpoints that a request may be sent to now."""
@@ -150,7 +150,7 @@
             return endpoints
         return [e for e in endpoints if self.find_rate(e.endpoint_id) is None]
 
-    def ask(
+    def request_permit(
         self,
         endpoints: list[lists.ListedEndpoint],
         request_id: str,
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -189,7 +189,7 @@
         return dialects.LeaseReply(dialects.LeaseAnswer.DONE)
 
 
-class LonePeers(limitpeers.LimitPeers):
+class NoPeers(limitpeers.LimitPeers):
     """No other instance."""
 
     def count_users(self, endpoint_id):
@@ -224,7 +224,7 @@
 
 def make_limits(timers):
     return endpointlimits.EndpointLimits(
-        LonePeers(), random.Random(1), timers, metric_store.Metrics()
+        NoPeers(), random.Random(1), timers, metric_store.Metrics()
     )
 
 
--- a/rhubarblock/exchange/peering/limitupdates_test.py
+++ b/rhubarblock/exchange/peering/limitupdates_test.py
@@ -73,8 +73,8 @@
             for end in (first, second)
         ]
         for end in (first, second):
-            while not end.limits.select_open(limited):
-                end.limits.ask(limited, "q1", 1.0)
+            while not end.limits.select_available(limited):
+                end.limits.request_permit(limited, "q1", 1.0)
                 await asyncio.sleep(0.005)
         return chosen
 
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -36,7 +36,7 @@
 AVAILABILITY_POLL_S = 0.02
 # Longest time in seconds until the best start of a waiting exchange is
 # predicted again: in a burst, prompts arrive and end meanwhile.
-START_S = 0.1
+START_RECHECK_S = 0.1
 
 
 class ExchangeRelay:
@@ -245,7 +245,7 @@
         if start_s > 0.0:
             self._outcomes.note_waiting(flow, start_s)
         while start_s > 0.0:
-            await asyncio.sleep(min(start_s, START_S))
+            await asyncio.sleep(min(start_s, START_RECHECK_S))
             start_s = self._placer.find_start_delay(flow)
 
     async def _run_tracked(
--- a/rhubarblock/experiments/endpointlimits/fleet.py
+++ b/rhubarblock/experiments/endpointlimits/fleet.py
@@ -163,7 +163,7 @@
         until_s = self.timers.read_monotonic() + WAIT_S * waits
         while True:
             left_s = until_s - self.timers.read_monotonic()
-            least_s = endpointlimits.LEAST_WITHIN_S
+            least_s = endpointlimits.MIN_PERMIT_WAIT_S
             if gate.try_pass(request_id, max(least_s, left_s)):
                 break
             if left_s <= 0.0:
--- a/rhubarblock/experiments/endpointlimits/gates.py
+++ b/rhubarblock/experiments/endpointlimits/gates.py
@@ -48,9 +48,9 @@
         self._endpoints = [endpoint]
 
     def try_pass(self, request_id: str, within_s: float) -> bool:
-        if not self._limits.select_open(self._endpoints):
-            self._limits.ask(self._endpoints, request_id, within_s)
-        if not self._limits.select_open(self._endpoints):
+        if not self._limits.select_available(self._endpoints):
+            self._limits.request_permit(self._endpoints, request_id, within_s)
+        if not self._limits.select_available(self._endpoints):
             return False
         self._limits.take(self._endpoints[0].endpoint_id)
         return True
--- a/rhubarblock/experiments/endpointrests/fleet.py
+++ b/rhubarblock/experiments/endpointrests/fleet.py
@@ -179,7 +179,7 @@
             self._policy.find_remaining(e.endpoint_id, now_s)
             for e in self._used
         )
-        spread_s = candidates.REST_SPREAD_S * self._rng.random()
+        spread_s = candidates.COOLDOWN_SPREAD_S * self._rng.random()
         return max(relay.RETRY_AFTER_S, left_s) + spread_s
 
 
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/play.py
@@ -283,7 +283,7 @@
             start_s = policy.find_start_delay(prompt, usable, model, now_s)
             if start_s <= 0.0:
                 return
-            await asyncio.sleep(min(start_s, relays.START_S))
+            await asyncio.sleep(min(start_s, relays.START_RECHECK_S))
 
     def _place(self, arrival: mixes.Arrival) -> prompts.Choice | None:
         now_s = _read_clock()
--- a/rhubarblock/routing/endpointlimits/coordinator_test.py
+++ b/rhubarblock/routing/endpointlimits/coordinator_test.py
@@ -13,7 +13,7 @@
 RATE = 8.0
 
 
-class Peers(fakes.LonePeers):
+class Peers(fakes.NoPeers):
     def count_users(self, endpoint_id):
         return USERS
 
