--- a/features/configuration_test.py
+++ b/features/configuration_test.py
@@ -36,8 +36,8 @@
     """Changes the weight of Hofbauer as the administration API does."""
     instance = node.instance
     service = changes.ChangeService(
-        instance.outside.store,
-        instance.outside.timers,
+        instance.clients.store,
+        instance.clients.timers,
         instance.catalogue.get_revision,
         instance.catalogue.accept,
     )
--- a/features/leaving_test.py
+++ b/features/leaving_test.py
@@ -42,8 +42,10 @@
 
 
 def order_drain(world, node, is_drained):
-    news = node.instance.news
-    world.fleet.run(news.order_drain(world.engine.endpoint_id, is_drained))
+    endpoint_notices = node.instance.endpoint_notices
+    world.fleet.run(
+        endpoint_notices.order_drain(world.engine.endpoint_id, is_drained)
+    )
 
 
 @when(parsers.parse("{count:d} more prompts arrive over {seconds:g} seconds"))
--- a/features/planned_stop_test.py
+++ b/features/planned_stop_test.py
@@ -78,8 +78,10 @@
 
 @when("the operator drains the engine that answers")
 def drain_engine(world):
-    news = world.fleet.nodes[0].instance.news
-    world.fleet.run(news.order_drain(world.engine.endpoint_id, True))
+    endpoint_notices = world.fleet.nodes[0].instance.endpoint_notices
+    world.fleet.run(
+        endpoint_notices.order_drain(world.engine.endpoint_id, True)
+    )
 
 
 @then("it took one attempt")
--- a/rhubarblock/daemon/callerserver.py
+++ b/rhubarblock/daemon/callerserver.py
@@ -103,27 +103,27 @@
 
     Attributes:
       header_bytes: largest request line or header field in bytes.
-      answer_bytes: bytes buffered per connection for a slow reader
+      write_buffer_bytes: bytes buffered per connection for a slow reader
         before writes of the handler wait.
       shutdown_s: seconds for requests in flight to end and for their responses
         to be flushed once the server stops.
     """
 
     header_bytes: int = 8_190
-    answer_bytes: int = 1 << 16
+    write_buffer_bytes: int = 1 << 16
     shutdown_s: float = 2.0
 
 
 class CallerConnection(connections.TrackedConnection):
     """A connection that answers invalid HTTP in the error format of the API."""
 
-    __slots__ = ("_answer_bytes",)
+    __slots__ = ("_write_buffer_bytes",)
 
     def __init__(
         self,
         server: web.Server,
         registry: connections.Registry,
-        answer_bytes: int,
+        write_buffer_bytes: int,
         **options: Any,
     ):
         """Creates a connection.
@@ -131,15 +131,15 @@
         Args:
           server: server that accepted the connection.
           registry: tracks the connection while it is open.
-          answer_bytes: see ``ServerBounds``.
+          write_buffer_bytes: see ``ServerBounds``.
           **options: options of ``web.RequestHandler``.
         """
         super().__init__(server, registry, **options)
-        self._answer_bytes = answer_bytes
+        self._write_buffer_bytes = write_buffer_bytes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.WriteTransport)
-        transport.set_write_buffer_limits(high=self._answer_bytes)
+        transport.set_write_buffer_limits(high=self._write_buffer_bytes)
         super().connection_made(transport)
 
     def handle_error(
@@ -219,7 +219,7 @@
         return CallerConnection(
             server,
             registry,
-            bounds.answer_bytes,
+            bounds.write_buffer_bytes,
             loop=loop,
             access_log=None,
             max_line_size=bounds.header_bytes,
--- a/rhubarblock/daemon/callerserver_test.py
+++ b/rhubarblock/daemon/callerserver_test.py
@@ -315,7 +315,7 @@
         app = web.Application()
         app.router.add_post("/", echo)
         free = kinds.Address("127.0.0.1", 0)
-        bounds = callerserver.ServerBounds(shutdown_s=loopback.PATIENCE_S)
+        bounds = callerserver.ServerBounds(shutdown_s=loopback.TIMEOUT_S)
         stopped = asyncio.Event()
 
         async def serve(address):
--- a/rhubarblock/daemon/outside.py
+++ b/rhubarblock/daemon/clients.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Outside:
+class Clients:
     """Clients of everything outside the fleet of entry instances.
 
     Attributes:
--- a/rhubarblock/daemon/endpointwatch.py
+++ b/rhubarblock/daemon/endpointwatch.py
@@ -46,7 +46,7 @@
         table: loadtable.LoadTable,
         states: endpointtables.EndpointTable,
         timers: timer_service.Timers,
-        coordinates: Callable[[str], bool],
+        is_coordinator: Callable[[str], bool],
     ):
         """Creates a watch.
 
@@ -56,14 +56,14 @@
           table: load table that placement uses; gets the usable engines.
           states: table that gets the state of every endpoint.
           timers: timer service.
-          coordinates: returns whether this instance is the placement
+          is_coordinator: returns whether this instance is the placement
             coordinator of a service.
         """
         self._source = source
         self._client = client
         self._table = table
         self._timers = timers
-        self._is_coordinator = coordinates
+        self._is_coordinator = is_coordinator
         self.states = states
         states.subscribe(self._on_state_change)
 
--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from rhubarblock.daemon import listener as listeners
-from rhubarblock.daemon import peersearch
+from rhubarblock.daemon import peerdiscovery
 from rhubarblock.daemon import plannedstop
 from rhubarblock.daemon import statuspages
 from rhubarblock.exchange import attempts
@@ -365,7 +365,7 @@
 
         Discovery goes on in the background if it takes longer.
         """
-        discovery = peersearch.PeerSearch(
+        discovery = peerdiscovery.PeerDiscovery(
             self.settings,
             store,
             self.peers,
--- a/rhubarblock/daemon/fleetstatus.py
+++ b/rhubarblock/daemon/fleetstatus.py
@@ -99,7 +99,7 @@
         )
 
     def _list_quarantines(self) -> tuple[statuses.QuarantineStatus, ...]:
-        now_s = self._instance.outside.timers.read_wall()
+        now_s = self._instance.clients.timers.read_wall()
         return tuple(
             statuses.QuarantineStatus(
                 digest=entry.digest,
@@ -113,7 +113,7 @@
     def _list_drains(self) -> tuple[statuses.DrainStatus, ...]:
         return tuple(
             self._describe_drain(name)
-            for name in self._instance.news.list_drained()
+            for name in self._instance.endpoint_notices.list_drained()
         )
 
     def _describe_drain(self, name: str) -> statuses.DrainStatus:
@@ -157,7 +157,7 @@
             raise _refuse(f"{target} has no endpoint that is known here")
         in_flight = 0
         for name in names:
-            await self._instance.news.order_drain(name, True)
+            await self._instance.endpoint_notices.order_drain(name, True)
             report = views[name].report
             in_flight += report.running + report.waiting if report else 0
         state = "draining" if in_flight else "drained"
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -17,10 +17,10 @@
 from rhubarblock.core import attemptid
 from rhubarblock.core import catalogue as catalogues
 from rhubarblock.core import request as requests
+from rhubarblock.daemon import clients as clients_lib
 from rhubarblock.daemon import coordinators
 from rhubarblock.daemon import endpointwatch
 from rhubarblock.daemon import listing
-from rhubarblock.daemon import outside as outsides
 from rhubarblock.daemon import promptparts
 from rhubarblock.fleet import distribution
 from rhubarblock.fleet import endpointnotices
@@ -67,7 +67,7 @@
     Attributes:
       identity: its id, incarnation and data centre.
       settings: its settings.
-      outside: clients of the platform and the endpoints.
+      clients: clients of the platform and the endpoints.
       lifecycle: its lifecycle state and count of requests in flight.
       metrics: its counters.
       membership: its view of the other instances.
@@ -80,7 +80,7 @@
       quarantine: quarantined digests of requests that crash endpoints.
       guard: applies limits and quarantine to each request.
       endpoints: polls the endpoints and tracks their state.
-      news: announcements and drain orders of endpoints.
+      endpoint_notices: announcements and drain orders of endpoints.
       orders: desired state of the engines.
       orphans: cancels attempts at engines whose instance is gone.
       parts: serves prompts.
@@ -90,7 +90,7 @@
     def __init__(
         self,
         settings: settings_lib.EntrySettings,
-        outside: outsides.Outside,
+        clients: clients_lib.Clients,
         port: PeerPort,
         rng: random.Random,
         incarnation: int,
@@ -99,13 +99,13 @@
 
         Args:
           settings: validated settings.
-          outside: clients of the platform and the endpoints.
+          clients: clients of the platform and the endpoints.
           port: transport for calls to peers.
           rng: source of ids and jitter.
           incarnation: increases with each start of this instance.
         """
         self.settings = settings
-        self.outside = outside
+        self.clients = clients
         self.identity = promptparts.Identity(
             settings.instance.id, incarnation, settings.instance.data_centre
         )
@@ -147,18 +147,18 @@
         rejected first, then requests in flight end, then the peers are
         notified.
         """
-        timers = self.outside.timers
+        timers = self.clients.timers
         async with contextlib.AsyncExitStack() as stack:
             await stack.enter_async_context(self.membership.run())
             await stack.enter_async_context(self.catalogue.run())
             await stack.enter_async_context(self.lender.run())
             await stack.enter_async_context(self.quarantine.run())
             await self._poll_endpoints(stack)
-            await stack.enter_async_context(self.news.run())
+            await stack.enter_async_context(self.endpoint_notices.run())
             await stack.enter_async_context(self.orders.run())
             await stack.enter_async_context(
                 listing.keep_listed(
-                    self.outside.store,
+                    self.clients.store,
                     listing.describe_entry(
                         self.identity.instance_id,
                         self.membership.own.address,
@@ -179,7 +179,7 @@
                 await self._stop()
 
     def _build_fleet(self, port: PeerPort) -> None:
-        outside = self.outside
+        clients = self.clients
         self.membership = memberships.Membership(
             members.Member(
                 self.identity.instance_id,
@@ -188,8 +188,8 @@
                 self.identity.incarnation,
             ),
             port.transport,
-            outside.source,
-            outside.timers,
+            clients.source,
+            clients.timers,
             self._rng,
             memberships.MembershipSettings(
                 detector=detection.DetectionSettings(
@@ -202,51 +202,51 @@
         # Two instances of each data centre read the list and pass it on to the
         # others there, which bounds the load on the platform.
         self.listed = listrelay.ListRelay(
-            outside.source,
+            clients.source,
             self.membership,
             port.transport,
-            outside.timers,
+            clients.timers,
             self._rng,
         )
         self.catalogue = distribution.CatalogueFollower(
             self.membership,
             port.transport,
-            outside.store,
-            outside.timers,
+            clients.store,
+            clients.timers,
             self._rng,
         )
 
     def _build_limits(self, port: PeerPort) -> None:
         self.lender = lending.Lender(
-            self.outside.timers,
+            self.clients.timers,
             port.transport,
             self.identity.instance_id,
             self.identity.incarnation,
             self.coordinators.find_lender,
             lendingholders.ShareHolders(
-                self.outside.timers, self.membership.list_known_instances
+                self.clients.timers, self.membership.list_known_instances
             ).list_ids,
             self.catalogue.get,
             self._rng,
         )
         self.limiter = limits.Limiter(
-            self.outside.timers, self.catalogue.get, self.lender
+            self.clients.timers, self.catalogue.get, self.lender
         )
 
     def _build_prompts(self, port: PeerPort) -> None:
         self.quarantine = quarantines.Quarantine(
-            self.outside.timers,
-            self.outside.store,
+            self.clients.timers,
+            self.clients.store,
             self.identity.instance_id,
             port.transport,
             self.coordinators.list_peers,
             self.coordinators.find_permit_issuer,
             self._rng,
         )
-        dependencies = promptparts.Surroundings(
-            timers=self.outside.timers,
+        dependencies = promptparts.PromptDependencies(
+            timers=self.clients.timers,
             rng=self._rng,
-            client=self.outside.engines,
+            client=self.clients.engines,
             peers=port.transport,
             policy=self._choose_policy(),
             find_service=self.find_service,
@@ -260,7 +260,7 @@
             self.limiter,
             self.quarantine,
             crashes.EngineCrashDetector(
-                self.outside.engines, self.quarantine, self._find_start_id
+                self.clients.engines, self.quarantine, self._find_start_id
             ),
             lambda name, failure: self.endpoints.report(name, failure),
         )
@@ -274,39 +274,39 @@
         )
 
     def _build_endpoints(self, port: PeerPort) -> None:
-        outside = self.outside
-        states = endpointtables.EndpointTable(outside.timers)
+        clients = self.clients
+        states = endpointtables.EndpointTable(clients.timers)
         self.endpoints = endpointwatch.EndpointWatch(
             self.listed,
-            outside.engines,
+            clients.engines,
             self.parts.table,
             states,
-            outside.timers,
+            clients.timers,
             self.coordinators.is_coordinator,
         )
-        self.news = endpointnotices.EndpointNotices(
+        self.endpoint_notices = endpointnotices.EndpointNotices(
             states,
             self.membership,
             port.transport,
-            outside.timers,
+            clients.timers,
             self._rng,
-            outside.store,
+            clients.store,
         )
         self.orphans = orphans.OrphanCollector(
             self.identity.owner,
             self.membership,
             states,
-            outside.engines,
+            clients.engines,
             self.parts.relay.is_running,
-            outside.timers,
+            clients.timers,
         )
         self.orders = orders.OrderService(
             self.membership,
-            outside.store,
-            outside.engines,
+            clients.store,
+            clients.engines,
             states,
             self.catalogue.get,
-            outside.timers,
+            clients.timers,
             self._rng,
         )
 
@@ -331,14 +331,14 @@
             (endpointwatch.CACHE_INTERVAL_S, self.endpoints.refresh_caches),
         ):
             await tick()
-            stack.enter_context(self.outside.timers.subscribe(interval_s, tick))
+            stack.enter_context(self.clients.timers.subscribe(interval_s, tick))
 
     async def _open_claims(self, stack: contextlib.AsyncExitStack) -> None:
-        outside = self.outside
+        clients = self.clients
         ledger = await stack.enter_async_context(
             claims.open_ledger(
-                outside.store,
-                outside.timers,
+                clients.store,
+                clients.timers,
                 self.identity.instance_id,
                 self._rng,
                 peers=self._transport,
@@ -349,9 +349,9 @@
             servicecalls.open_caller(
                 servicecalls.ServiceCaller(
                     ledger,
-                    outside.services,
+                    clients.services,
                     self.endpoints.choose_service_address,
-                    outside.timers,
+                    clients.timers,
                     self._rng,
                     take_retry=self.parts.retry_budget.try_spend,
                 )
--- a/rhubarblock/daemon/listing.py
+++ b/rhubarblock/daemon/listing.py
@@ -18,7 +18,7 @@
 CHECK_INTERVAL_S = 30.0
 
 
-class Listing:
+class InstanceRecord:
     """The record of one instance in the instance list."""
 
     __slots__ = ("_name", "_store", "_value")
@@ -50,7 +50,7 @@
         await self._store.write(self._name, self._value, version)
         return True
 
-    async def enter(self, is_first_start: bool) -> stores.Page:
+    async def register(self, is_first_start: bool) -> stores.Page:
         """Registers the instance and returns the list, with few store calls.
 
         The list that it returns is read after the record is written, so of two
@@ -134,7 +134,7 @@
       own: this instance.
       timers: timer service.
     """
-    record = Listing(store, own)
+    record = InstanceRecord(store, own)
     await record.write()
     try:
         with timers.subscribe(CHECK_INTERVAL_S, record.write):
--- a/rhubarblock/daemon/listing_test.py
+++ b/rhubarblock/daemon/listing_test.py
@@ -65,6 +65,8 @@
     record, is_first_start, calls
 ):
     store = RecordingStore({"instances/i1": record} if record else {})
-    page = asyncio.run(listing.Listing(store, OWN).enter(is_first_start))
+    page = asyncio.run(
+        listing.InstanceRecord(store, OWN).register(is_first_start)
+    )
     assert store.calls == calls
     assert [stored.value for stored in page.objects] == [VALUE]
--- a/rhubarblock/daemon/loopbackfleet_test.py
+++ b/rhubarblock/daemon/loopbackfleet_test.py
@@ -32,7 +32,7 @@
 SECRET = "adwoa-caller"
 OPERATOR_SECRET = "adwoa-operator"
 STRAY_SECRET = "adwoa-stray"
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 _ROLE = catalogues.CredentialRole
 
 
@@ -160,7 +160,7 @@
         ),
         platform=settings_lib.PlatformSettings(url=url),
         limits=limits or settings_lib.LimitsSettings(),
-        drain=settings_lib.DrainSettings(deadline_s=PATIENCE_S),
+        drain=settings_lib.DrainSettings(deadline_s=TIMEOUT_S),
     )
 
 
@@ -205,7 +205,7 @@
     reader, writer = await connect(address)
     writer.write(data)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await read_answer(reader)
     finally:
         writer.close()
@@ -240,6 +240,6 @@
 
 async def wait_until(condition: Callable[[], bool]) -> None:
     """Waits for a condition; the timeout only ends a test that hangs."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/rhubarblock/daemon/peersearch.py
+++ b/rhubarblock/daemon/peerdiscovery.py
@@ -19,12 +19,12 @@
 # Seconds over which the instances spread the checks of their own records after
 # the store came back from an older copy, and between two attempts of a check.
 RESTORE_SPREAD_S = 1.0
-AGAIN_S = 0.25
+RESTORE_RETRY_S = 0.25
 
 _logger = logging.getLogger(__name__)
 
 
-class PeerSearch:
+class PeerDiscovery:
     """Registers an instance and sends heartbeats to the listed peers."""
 
     __slots__ = (
@@ -62,7 +62,7 @@
         """
         self._eras = eras
         self._metrics = metrics
-        self._record = listing.Listing(
+        self._record = listing.InstanceRecord(
             store,
             listing.describe_entry(
                 settings.instance_id,
@@ -88,7 +88,9 @@
         """Returns the list once this instance is registered in it."""
         while True:
             try:
-                return await self._record.enter(self._settings.is_first_start)
+                return await self._record.register(
+                    self._settings.is_first_start
+                )
             except stores.StoreError as error:
                 _logger.debug("cannot register in the instance list: %s", error)
                 await self._timers.sleep(REGISTER_RETRY_S)
@@ -122,13 +124,13 @@
                         "own line was lost and is written again",
                         extra={"era": self._eras.current},
                     )
-                    await self._greet_listed(await self._record.enter(False))
+                    await self._greet_listed(await self._record.register(False))
             except stores.StoreError as error:
                 _logger.info(
                     "cannot check the own record in the instance list",
                     extra={"reason": str(error)},
                 )
-                await self._timers.sleep(AGAIN_S)
+                await self._timers.sleep(RESTORE_RETRY_S)
                 continue
             return
 
--- a/rhubarblock/daemon/promptparts.py
+++ b/rhubarblock/daemon/promptparts.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Surroundings:
+class PromptDependencies:
     """Dependencies of the parts that serve prompts.
 
     Attributes:
@@ -127,7 +127,7 @@
     def __init__(
         self,
         identity: Identity,
-        dependencies: Surroundings,
+        dependencies: PromptDependencies,
         lifecycle: lifecycles.InstanceLifecycle,
         metrics: metric_store.Metrics,
         guard: guards.Guard,
--- a/rhubarblock/daemon/server.py
+++ b/rhubarblock/daemon/server.py
@@ -59,16 +59,16 @@
       OSError: an address cannot be listened on, or a TLS file cannot be read.
     """
     async with contextlib.AsyncExitStack() as stack:
-        outside = await stack.enter_async_context(
+        clients = await stack.enter_async_context(
             sockets.open_clients(settings)
         )
-        incarnation = int(outside.timers.read_wall() * _MS_PER_S)
+        incarnation = int(clients.timers.read_wall() * _MS_PER_S)
         peers = await stack.enter_async_context(
-            _open_peers(settings, incarnation, outside.timers)
+            _open_peers(settings, incarnation, clients.timers)
         )
         instance = instances.Instance(
             settings,
-            outside,
+            clients,
             instances.PeerPort(peers, _choose_address(settings, peers)),
             # Ids must differ between starts, so the generator takes its seed
             # from the operating system.
@@ -121,7 +121,7 @@
         return
     client = statsd.StatsClient(settings.statsd.host, settings.statsd.port)
     with metric_store.flush_regularly(
-        instance.metrics, instance.outside.timers, client, settings.interval_s
+        instance.metrics, instance.clients.timers, client, settings.interval_s
     ):
         yield
 
@@ -157,7 +157,7 @@
 def _make_apis(instance: instances.Instance) -> callerserver.CallerApis:
     context = callcontext.CallContext(
         instance.catalogue.get,
-        instance.outside.timers,
+        instance.clients.timers,
         instance.make_id,
         instance.settings.limits.default_deadline_s,
     )
@@ -170,16 +170,16 @@
 
 
 def _make_admin_app(instance: instances.Instance) -> web.Application:
-    outside = instance.outside
+    clients = instance.clients
     return admin_api.create_app(
         admin_api.AdminParts(
             changes=changes.ChangeService(
-                outside.store,
-                outside.timers,
+                clients.store,
+                clients.timers,
                 instance.catalogue.get_revision,
                 instance.catalogue.accept,
             ),
-            timers=outside.timers,
+            timers=clients.timers,
             get_catalogue=instance.catalogue.get,
             status_source=fleetstatus.InstanceStatusSource(instance),
             drain_control=fleetstatus.InstanceDrainControl(instance),
--- a/rhubarblock/daemon/sockets.py
+++ b/rhubarblock/daemon/sockets.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from rhubarblock.daemon import outside as outsides
+from rhubarblock.daemon import clients as clients_lib
 from rhubarblock.fleet import httpengine
 from rhubarblock.fleet import httpservice
 from rhubarblock.kernel import timers as timer_service
@@ -21,7 +21,7 @@
 @contextlib.asynccontextmanager
 async def open_clients(
     settings: settings_lib.EntrySettings,
-) -> AsyncIterator[outsides.Outside]:
+) -> AsyncIterator[clients_lib.Clients]:
     """Opens the clients of one instance while the context is open.
 
     Args:
@@ -39,7 +39,7 @@
     async with aiohttp.ClientSession(
         connector=connector, timeout=timeout
     ) as session:
-        yield outsides.Outside(
+        yield clients_lib.Clients(
             timers=timers,
             store=httpstore.HttpStore(
                 session, url, name, settings.platform.timeout_s
--- a/rhubarblock/experiments/capacity/lists.py
+++ b/rhubarblock/experiments/capacity/lists.py
@@ -157,5 +157,5 @@
         table=loadtable.LoadTable(),
         states=endpointtables.EndpointTable(node.timers),
         timers=node.timers,
-        coordinates=lambda service: True,
+        is_coordinator=lambda service: True,
     )
--- a/rhubarblock/experiments/capacity/sockets.py
+++ b/rhubarblock/experiments/capacity/sockets.py
@@ -245,7 +245,7 @@
         table=table,
         states=endpointtables.EndpointTable(timers),
         timers=timers,
-        coordinates=lambda service: True,
+        is_coordinator=lambda service: True,
     )
 
 
--- a/rhubarblock/experiments/faults/fleet.py
+++ b/rhubarblock/experiments/faults/fleet.py
@@ -236,8 +236,8 @@
     ) -> None:
         instance = node.instance
         service = changes.ChangeService(
-            instance.outside.store,
-            instance.outside.timers,
+            instance.clients.store,
+            instance.clients.timers,
             instance.catalogue.get_revision,
             instance.catalogue.accept,
         )
--- a/rhubarblock/experiments/overhead/parts.py
+++ b/rhubarblock/experiments/overhead/parts.py
@@ -173,7 +173,7 @@
         drain=settings_lib.DrainSettings(deadline_s=10.0),
     )
     async with server.run_server(settings) as running:
-        engines = running.instance.outside.engines
+        engines = running.instance.clients.engines
         if streaming is not None:
             assert isinstance(engines, httpengine.HttpEngineClient)
             engines.set_streaming(streaming)
--- a/rhubarblock/experiments/simulation.py
+++ b/rhubarblock/experiments/simulation.py
@@ -20,8 +20,8 @@
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.core import failure as failures
 from rhubarblock.core import position as positions
+from rhubarblock.daemon import clients as clients_lib
 from rhubarblock.daemon import instance as entries
-from rhubarblock.daemon import outside as outsides
 from rhubarblock.experiments import workload
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.relay import completion as completions
@@ -321,7 +321,7 @@
         timers = memorypeers.PausableTimers(self.timers, peers)
         connection = self.store.connect(instance_id)
         client = self.make_client(timers)
-        outside = outsides.Outside(
+        clients = clients_lib.Clients(
             timers=timers,
             store=connection,
             source=self.listing.connect(instance_id),
@@ -335,7 +335,7 @@
             make_settings(
                 instance_id, data_centre, self.policy_name, self.plan
             ),
-            outside,
+            clients,
             port,
             self.make_rng(),
             self._starts,
--- a/rhubarblock/experiments/storereturn/fleet.py
+++ b/rhubarblock/experiments/storereturn/fleet.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from rhubarblock.daemon import listing
-from rhubarblock.daemon import peersearch
+from rhubarblock.daemon import peerdiscovery
 from rhubarblock.exchange.peering import table as peer_table
 from rhubarblock.exchange.peering import updates as peer_updates
 from rhubarblock.experiments.storereturn import restoredstore
@@ -161,7 +161,7 @@
         eras = era_lib.EraTracker(metrics)
         eras.validate(restoredstore.COPY_ERA)
         settings = member.settings
-        search = peersearch.PeerSearch(
+        search = peerdiscovery.PeerDiscovery(
             settings,
             self.store,
             peer_table.PeerTable(
@@ -197,7 +197,7 @@
             try:
                 page = await self.store.list_objects(instances.OBJECT_PREFIX)
             except stores.StoreError:
-                await self._timers.sleep(peersearch.AGAIN_S)
+                await self._timers.sleep(peerdiscovery.RESTORE_RETRY_S)
                 continue
             return {stored.name for stored in page.objects}
 
@@ -210,12 +210,12 @@
         """
         if not is_reader:
             await self._timers.sleep(self._rng.uniform(0.0, NOTIFIED_WITHIN_S))
-        own_entry = listing.Listing(self.store, member.describe())
+        own_entry = listing.InstanceRecord(self.store, member.describe())
         while True:
             try:
-                await own_entry.enter(True)
+                await own_entry.register(True)
             except stores.StoreError:
-                await self._timers.sleep(peersearch.AGAIN_S)
+                await self._timers.sleep(peerdiscovery.RESTORE_RETRY_S)
                 continue
             return
 
--- a/rhubarblock/relay/completionsapi_test.py
+++ b/rhubarblock/relay/completionsapi_test.py
@@ -154,7 +154,7 @@
     app = web.Application()
     api.add_routes(app)
     free = kinds.Address("127.0.0.1", 0)
-    bounds = callerserver.ServerBounds(answer_bytes=200_000)
+    bounds = callerserver.ServerBounds(write_buffer_bytes=200_000)
     async with callerserver.run_server(app, free, bounds) as address:
         yield address
 
