--- a/rhubarblock/admin/api.py
+++ b/rhubarblock/admin/api.py
@@ -255,7 +255,7 @@
             target=str(target),
         )
         try:
-            await self._parts.changes.archive.add_act(record)
+            await self._parts.changes.archive.add_action_record(record)
         except (stores.StoreError, codec.CodecError) as error:
             if message.unrecorded:
                 return False
--- a/rhubarblock/admin/api_test.py
+++ b/rhubarblock/admin/api_test.py
@@ -25,7 +25,11 @@
 
     async def create_catalogue(self):
         return await self.post(
-            "catalogue", "boot", revision=0, text=samples.WHOLE, why="first"
+            "catalogue",
+            "boot",
+            revision=0,
+            text=samples.CATALOGUE_TEXT,
+            why="first",
         )
 
     async def _call(self, method, path, secret, content):
@@ -149,7 +153,7 @@
 def test_operator_cannot_change_other_entries():
     async def scenario(api, parts):
         await api.create_catalogue()
-        text = samples.WHOLE.replace("version = v1", "version = v2")
+        text = samples.CATALOGUE_TEXT.replace("version = v1", "version = v2")
         return await api.post(
             "catalogue", "adwoa-op", revision=1, text=text, why="w"
         )
@@ -179,7 +183,9 @@
     async def scenario(api, parts):
         await api.create_catalogue()
         for version in ("v2", "v3"):
-            text = samples.WHOLE.replace("version = v1", f"version = {version}")
+            text = samples.CATALOGUE_TEXT.replace(
+                "version = v1", f"version = {version}"
+            )
             answer = await api.post(
                 "catalogue", revision=1, text=text, why=version
             )
@@ -199,7 +205,7 @@
 def test_rollback_restores_an_older_revision():
     async def scenario(api, parts):
         await api.create_catalogue()
-        text = samples.WHOLE.replace("version = v1", "version = v2")
+        text = samples.CATALOGUE_TEXT.replace("version = v1", "version = v2")
         await api.post("catalogue", revision=1, text=text, why="w")
         _, older = await api.get("catalogue?revision=1")
         made = await api.post("rollback", revision=2, to=1, why="back")
--- a/rhubarblock/catalogue/archive.py
+++ b/rhubarblock/catalogue/archive.py
@@ -139,7 +139,7 @@
             name_history_slot(revision), accepted.content, revision
         )
 
-    async def add_act(self, record: audit.AuditRecord) -> None:
+    async def add_action_record(self, record: audit.AuditRecord) -> None:
         """Stores the record of an action that creates no revision.
 
         Args:
--- a/rhubarblock/catalogue/changes_test.py
+++ b/rhubarblock/catalogue/changes_test.py
@@ -375,7 +375,7 @@
             record = audit.AuditRecord(
                 f"d{number}", audit.Action.DRAIN, "admin", number, "why", 0
             )
-            await archive.add_act(record)
+            await archive.add_action_record(record)
         return [r.change_id for r in await archive.list_records()]
 
     assert run(scenario) == ["d3", "d2"]
--- a/rhubarblock/catalogue/samples_test.py
+++ b/rhubarblock/catalogue/samples_test.py
@@ -70,21 +70,21 @@
     )
 
 
-WHOLE = TEXT + format_credentials()
+CATALOGUE_TEXT = TEXT + format_credentials()
 
 
-def parse(text=WHOLE):
+def parse(text=CATALOGUE_TEXT):
     return files.parse_catalogue(text, "c.ini").unwrap()
 
 
-def edit(*pairs, text=WHOLE):
+def edit(*pairs, text=CATALOGUE_TEXT):
     for old, new in pairs:
         assert old in text
         text = text.replace(old, new)
     return parse(text)
 
 
-def remove_sections(*sections, text=WHOLE):
+def remove_sections(*sections, text=CATALOGUE_TEXT):
     """Parses the catalogue without the given sections."""
     blocks = text.split("\n\n")
     heads = tuple(f"[{section}]" for section in sections)
--- a/rhubarblock/scripts/client_test.py
+++ b/rhubarblock/scripts/client_test.py
@@ -78,7 +78,7 @@
 @pytest.fixture
 def path(tmp_path):
     file = tmp_path / "catalogue.ini"
-    file.write_text(samples.WHOLE)
+    file.write_text(samples.CATALOGUE_TEXT)
     return file
 
 
