--- a/benchmarks/ways.py
+++ b/benchmarks/ways.py
@@ -55,25 +55,27 @@
     """Plays all ways and prints the table."""
     try:
         ways = [comparison.parse_way(text) for text in texts]
-        bench_ = plays.Bench(bench, sites_folder, processor)
+        program = plays.BenchmarkProgram(bench, sites_folder, processor)
         for site in sites:
-            bench_.find_site(site)
+            program.find_site(site)
         folders = {way.name: copies / way.revision for way in ways}
         for way in ways:
             plays.copy_code(ROOT, way.revision, folders[way.name])
     except (ValueError, plays.PlayError) as error:
         sys.exit(str(error))
-    kept = results.ResultFile(
+    result_file = results.ResultFile(
         ROOT / "benchmarks" / "ways" / f"{decision}.jsonl"
     )
-    comparison.play_all(
+    comparison.run_missing_plays(
         comparison.list_plays(ways, sites, days, seeds, small),
-        kept,
-        comparison.make_player(bench_, folders, f"ways of {decision}"),
+        result_file,
+        comparison.make_play_runner(program, folders, f"ways of {decision}"),
         jobs,
         click.echo,
     )
-    click.echo(table.format_table(kept.outcomes, [way.name for way in ways]))
+    click.echo(
+        table.format_table(result_file.outcomes, [way.name for way in ways])
+    )
 
 
 if __name__ == "__main__":
--- a/tools/ways/comparison.py
+++ b/tools/ways/comparison.py
@@ -10,7 +10,7 @@
 from tools.ways import plays
 from tools.ways import results
 
-Player = Callable[[results.Play], results.Outcome]
+PlayRunner = Callable[[results.Play], results.Outcome]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -55,10 +55,10 @@
     ]
 
 
-def play_all(
+def run_missing_plays(
     wanted: list[results.Play],
-    kept: results.ResultFile,
-    run: Player,
+    result_file: results.ResultFile,
+    run: PlayRunner,
     jobs: int,
     log: Callable[[str], None],
 ) -> None:
@@ -68,12 +68,12 @@
 
     Args:
       wanted: the plays.
-      kept: outcomes of earlier plays; new ones are added.
+      result_file: outcomes of earlier plays; new ones are added.
       run: runs one play.
       jobs: number of concurrent plays.
       log: called with each line about the progress.
     """
-    missing = [play for play in wanted if play not in kept.outcomes]
+    missing = [play for play in wanted if play not in result_file.outcomes]
     log(f"{len(wanted) - len(missing)} plays are kept, {len(missing)} to go")
     begun_s = time.monotonic()
     with futures.ThreadPoolExecutor(jobs) as pool:
@@ -87,16 +87,16 @@
             except plays.PlayError as error:
                 log(f"{play.way} {play.site} {play.day}: {error}")
                 continue
-            kept.add(play, outcome)
+            result_file.add(play, outcome)
             log(
                 f"{play.way} {play.site} {play.day} seed {play.seed}: "
                 f"{outcome.worth:.3f}, {remaining}"
             )
 
 
-def make_player(
-    bench: plays.Bench, copies: dict[str, pathlib.Path], why: str
-) -> Player:
+def make_play_runner(
+    bench: plays.BenchmarkProgram, copies: dict[str, pathlib.Path], why: str
+) -> PlayRunner:
     """Returns a function that runs a play in the copy of its way.
 
     Args:
--- a/tools/ways/comparison_test.py
+++ b/tools/ways/comparison_test.py
@@ -67,15 +67,19 @@
             raise plays.PlayError("the bench gave no report: busy")
         return make_outcome(0.5, breaks={"LOST": 1})
 
-    comparison.play_all(wanted, results.ResultFile(path), run, 1, lines.append)
-    comparison.play_all(wanted, results.ResultFile(path), run, 1, lines.append)
+    comparison.run_missing_plays(
+        wanted, results.ResultFile(path), run, 1, lines.append
+    )
+    comparison.run_missing_plays(
+        wanted, results.ResultFile(path), run, 1, lines.append
+    )
     assert played == [("x", 1), ("y", 1), ("x", 2), ("y", 2), ("x", 2)]
     assert lines[0] == "0 plays are kept, 4 to go"
     assert "x a d: the bench gave no report: busy" in lines
     assert "3 plays are kept, 1 to go" in lines
-    kept = results.ResultFile(path).outcomes
-    assert kept[wanted[0]] == make_outcome(0.5, breaks={"LOST": 1})
-    assert len(kept) == 4
+    result_file = results.ResultFile(path).outcomes
+    assert result_file[wanted[0]] == make_outcome(0.5, breaks={"LOST": 1})
+    assert len(result_file) == 4
 
 
 def test_way_needs_a_name_and_a_revision():
@@ -86,7 +90,7 @@
 
 
 def test_missing_bench_and_site_are_reported(tmp_path):
-    bench = plays.Bench(tmp_path / "bench", tmp_path)
+    bench = plays.BenchmarkProgram(tmp_path / "bench", tmp_path)
     with pytest.raises(plays.PlayError) as caught:
         bench.find_site("a")
     assert str(caught.value) == f"there is no bench at {tmp_path}/bench"
--- a/tools/ways/plays.py
+++ b/tools/ways/plays.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Bench:
+class BenchmarkProgram:
     """Locations and options of the benchmark program.
 
     Attributes:
@@ -64,7 +64,7 @@
 
 
 def run_play(
-    bench: Bench, play: results.Play, copy: pathlib.Path, why: str
+    bench: BenchmarkProgram, play: results.Play, copy: pathlib.Path, why: str
 ) -> results.Outcome:
     """Runs one play.
 
