--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -8,14 +8,14 @@
 import time
 
 from rhubarblock.core import listed as lists
-from rhubarblock.experiments.platform import mix as mixes
+from rhubarblock.experiments.platform import deployments as platformdeployments
 from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import prompt as prompts
 from rhubarblock.routing.placement import splitpolicy
 
 ROUNDS = 200
 SEED = 7
-PLAN = mixes.LARGE
+PLAN = platformdeployments.LARGE
 
 
 def make_engines(count: int) -> list[lists.ListedEndpoint]:
--- a/features/at_most_once_test.py
+++ b/features/at_most_once_test.py
@@ -51,7 +51,7 @@
 def break_platform(world, trouble):
     faults = world.fleet.simulation.store.faults
     if trouble == "is down":
-        world.fleet.do(faults.start_outage)
+        world.fleet.call_in_loop(faults.start_outage)
         return
     fields = {
         "loses the answers of its writes": {"lose_answers_next": 2},
@@ -67,13 +67,13 @@
 
 @when("every desk breaks its connection")
 def break_connections(world):
-    for desk in world.fleet.desks:
+    for desk in world.fleet.service_endpoints:
         desk.faults.cut_after_run_next = 1
 
 
 @when("every desk dies after its next call")
 def kill_desks(world):
-    for desk in world.fleet.desks:
+    for desk in world.fleet.service_endpoints:
         desk.faults.die_after_run_next = 1
 
 
@@ -87,7 +87,7 @@
             await world.fleet.simulation.timers.sleep(0.0005)
         action(node)
 
-    world.monitor_task = world.fleet.do(
+    world.monitor_task = world.fleet.call_in_loop(
         lambda: asyncio.ensure_future(monitor())
     )
 
--- a/features/configuration_test.py
+++ b/features/configuration_test.py
@@ -84,7 +84,9 @@
     address = world.fleet.nodes[2].port.address
     network.pause(address)
     timers = world.fleet.simulation.timers
-    world.fleet.do(timers.call_later, 3.0, lambda: network.resume(address))
+    world.fleet.call_in_loop(
+        timers.call_later, 3.0, lambda: network.resume(address)
+    )
 
 
 def split_by_data_centre(world):
@@ -117,7 +119,7 @@
     assert read_weights(world) == [4.0, 1.0, 4.0, 1.0]
     world.fleet.simulation.network.heal()
     for node in split_by_data_centre(world)[1]:
-        world.fleet.do(
+        world.fleet.call_in_loop(
             world.fleet.simulation.store.faults.join, node.instance_id
         )
     world.accepted_s = world.fleet.now_s
@@ -132,7 +134,7 @@
 
 @when("the platform goes down")
 def stop_platform(world):
-    world.fleet.do(world.fleet.simulation.store.faults.start_outage)
+    world.fleet.call_in_loop(world.fleet.simulation.store.faults.start_outage)
 
 
 def split_address(node):
@@ -146,7 +148,7 @@
     node = fleet.nodes[3]
     fleet.kill(node)
     fleet.advance(5.0)
-    fleet.do(fleet.simulation.store.faults.join, node.instance_id)
+    fleet.call_in_loop(fleet.simulation.store.faults.join, node.instance_id)
     seeds = [kinds.Address(*split_address(x)) for x in fleet.nodes]
 
     def add_seeds(*args):
@@ -183,7 +185,7 @@
     world.fleet.advance(4.0)
     caller = world.ask("Steyr", "pick list", node=world.fleet.nodes[-1])
     world.fleet.finish(caller)
-    assert caller.whole, caller.outcome
+    assert caller.complete, caller.outcome
 
 
 @when("two operators change the weight of Hofbauer at the same moment")
--- a/features/conftest.py
+++ b/features/conftest.py
@@ -107,7 +107,7 @@
         "refuses connections": (engine.refuse_connections, 20.0),
     }
     if trouble in actions:
-        world.fleet.do(*actions[trouble])
+        world.fleet.call_in_loop(*actions[trouble])
         return
     faults = {
         "cuts the stream": {"cut_next": 1},
@@ -128,7 +128,9 @@
 
 @when("an hour passes without any activity")
 def jump_an_hour(world):
-    world.fleet.do(lambda: asyncio.get_running_loop().advance(3_600.0))
+    world.fleet.call_in_loop(
+        lambda: asyncio.get_running_loop().advance(3_600.0)
+    )
     world.fleet.advance(5.0)
 
 
@@ -141,7 +143,7 @@
 def check_whole(world, name):
     caller = world.callers[name]
     world.fleet.finish(caller)
-    assert caller.whole, caller.outcome
+    assert caller.complete, caller.outcome
 
 
 @then("all have whole answers, each only its own")
@@ -149,12 +151,12 @@
     world.finish()
     assert world.callers
     for caller in world.callers.values():
-        assert caller.whole, (caller.name, caller.outcome)
+        assert caller.complete, (caller.name, caller.outcome)
 
 
 @then("no caller has a piece of another answer")
 def check_no_foreign_piece(world):
-    assert all(caller.own for caller in world.callers.values())
+    assert all(caller.has_own_prefix for caller in world.callers.values())
 
 
 @then("each has ended within its time")
--- a/features/golden_test.py
+++ b/features/golden_test.py
@@ -59,7 +59,7 @@
                 f"{after}: {failure.code.value}, {failure.message}"
             )
         elif caller.wanted:
-            kind = "its whole answer" if caller.whole else "A WRONG ANSWER"
+            kind = "its whole answer" if caller.complete else "A WRONG ANSWER"
             done = outcome.unwrap()
             self.note_now(
                 f"{caller.name} has {kind}: {done.prompt_tokens} + "
@@ -115,10 +115,10 @@
         for x in fleet.engines
         if any(name.startswith(dying.request_id) for name in x.kv_held())
     )
-    fleet.do(engine.die)
+    fleet.call_in_loop(engine.die)
     log.note(f"{engine.endpoint_id} dies")
     fleet.advance(60.0)
-    fleet.do(fleet.simulation.store.faults.start_outage)
+    fleet.call_in_loop(fleet.simulation.store.faults.start_outage)
     log.note("the platform is down")
     call("late notice", "K8")
     ask("pick list 3", 1_000)
--- a/features/leaving_test.py
+++ b/features/leaving_test.py
@@ -27,10 +27,12 @@
     fleet = world.fleet
     engine = world.engine = fleet.engines[0]
     if "platform's list" in sign:
-        fleet.do(fleet.simulation.listing.mark_leaving, engine.endpoint_id)
+        fleet.call_in_loop(
+            fleet.simulation.listing.mark_leaving, engine.endpoint_id
+        )
     elif "refuses" in sign:
         if "platform" in sign:
-            fleet.do(fleet.simulation.store.faults.start_outage)
+            fleet.call_in_loop(fleet.simulation.store.faults.start_outage)
         engine.draining = True
     elif "data centres" in sign:
         one, two = fleet.nodes
@@ -67,7 +69,7 @@
 
 @when("one desk refuses new calls")
 def drain_desk(world):
-    world.fleet.desks[0].faults.draining = True
+    world.fleet.service_endpoints[0].faults.draining = True
 
 
 @when(parsers.parse("{count:d} stock bookings arrive over {seconds:g} seconds"))
--- a/features/not_run_test.py
+++ b/features/not_run_test.py
@@ -30,7 +30,7 @@
 
 @when(parsers.re("every desk (?P<trouble>.*)"))
 def break_desks(world, trouble):
-    for desk in world.fleet.desks:
+    for desk in world.fleet.service_endpoints:
         for field, value in DESK_FAULTS[trouble].items():
             setattr(desk.faults, field, value)
     if trouble == "mixes its answers up":
@@ -54,7 +54,7 @@
 @when("the engine is dead")
 def remove_engine(world):
     world.engine = world.fleet.engines[0]
-    world.fleet.do(world.engine.die)
+    world.fleet.call_in_loop(world.engine.die)
 
 
 @when("the engine refuses new work")
@@ -73,14 +73,14 @@
 @when("the engine dies in the middle of its answer")
 def kill_engine(world):
     wait_for_middle(world)
-    world.fleet.do(world.engine.die)
+    world.fleet.call_in_loop(world.engine.die)
 
 
 @when("the engine is drained and cuts the stream")
 def drain_engine(world):
     wait_for_middle(world)
     node = world.fleet.nodes[0].instance
-    world.fleet.do(
+    world.fleet.call_in_loop(
         node.endpoints.states.mark_draining, world.engine.endpoint_id
     )
     world.engine.faults.cut_next = 1
@@ -89,7 +89,7 @@
 @when("the engine pauses in the middle of its answer")
 def pause_engine(world):
     wait_for_middle(world)
-    world.fleet.do(world.engine.pause, 100.0)
+    world.fleet.call_in_loop(world.engine.pause, 100.0)
 
 
 @when("the instance starts to drain")
--- a/features/planned_stop_test.py
+++ b/features/planned_stop_test.py
@@ -12,7 +12,7 @@
 
 @when("Accra sends a fee notice")
 def send_notice(world):
-    for desk in world.fleet.desks:
+    for desk in world.fleet.service_endpoints:
         desk.faults.slow_s = 3.0
     world.notice = world.fleet.call("notice", key="K", path="/notices")
 
@@ -30,7 +30,7 @@
     world.node = world.fleet.nodes[0]
     stop = world.fleet.simulation.stop_instance(world.node)
     world.fleet.advance(0.05)
-    world.stop = world.fleet.do(lambda: asyncio.ensure_future(stop))
+    world.stop = world.fleet.call_in_loop(lambda: asyncio.ensure_future(stop))
     world.fleet.advance(0.05)
 
 
@@ -49,7 +49,7 @@
 def ask_other(world, name):
     caller = world.ask(name, "pick list", node=world.fleet.nodes[0])
     world.fleet.finish(caller)
-    assert caller.whole
+    assert caller.complete
 
 
 @then("the stop ends after Tamale's answer")
@@ -61,7 +61,7 @@
         await world.stop
 
     world.fleet.run(wait())
-    assert caller.whole
+    assert caller.complete
 
 
 @then("nobody was refused")
--- a/features/time_test.py
+++ b/features/time_test.py
@@ -10,7 +10,7 @@
 
 @when("the platform is down")
 def stop_platform(world):
-    world.fleet.do(world.fleet.simulation.store.faults.start_outage)
+    world.fleet.call_in_loop(world.fleet.simulation.store.faults.start_outage)
 
 
 @when("the data centres are cut off")
@@ -22,13 +22,13 @@
 @when("all engines but one die")
 def kill_some_engines(world):
     for engine in world.fleet.engines[1:]:
-        world.fleet.do(engine.die)
+        world.fleet.call_in_loop(engine.die)
 
 
 @when("all engines die")
 def kill_engines(world):
     for engine in world.fleet.engines:
-        world.fleet.do(engine.die)
+        world.fleet.call_in_loop(engine.die)
 
 
 @when(
@@ -46,11 +46,11 @@
 
 @then(parsers.parse("{share} of them were answered"))
 def check_share(world, share):
-    whole = sum(caller.whole for caller in world.callers.values())
+    complete = sum(caller.complete for caller in world.callers.values())
     min_count, max_count = {"all": (20, 20), "most": (15, 20), "none": (0, 0)}[
         share
     ]
-    assert min_count <= whole <= max_count
+    assert min_count <= complete <= max_count
 
 
 @then("it was refused at once")
--- a/rhubarblock/experiments/endpointrests/fleet.py
+++ b/rhubarblock/experiments/endpointrests/fleet.py
@@ -12,8 +12,8 @@
 from rhubarblock.exchange import relay
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
+from rhubarblock.experiments.endpointrests import policies
 from rhubarblock.experiments.endpointrests import sheddingendpoint
-from rhubarblock.experiments.endpointrests import ways
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing import health as healths
 
@@ -88,7 +88,7 @@
         self._calls = callbalancer.CallBalancer(
             self._health, data_centre, self._timers
         )
-        self._policy = ways.make_policy(
+        self._policy = policies.make_policy(
             fleet.way, random.Random(f"{fleet.seed} {name} hints")
         )
         self._used = fleet.list_used(name, data_centre)
--- a/rhubarblock/experiments/endpointrests/fleet_test.py
+++ b/rhubarblock/experiments/endpointrests/fleet_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from rhubarblock.experiments.endpointrests import policies
 from rhubarblock.experiments.endpointrests import scenario
-from rhubarblock.experiments.endpointrests import ways
 
 # Long enough for a shedding to begin and several cool-downs to end.
 LENGTH_S = 10.0
@@ -15,18 +15,18 @@
 
 @pytest.mark.parametrize("variant", scenario.SHED_RATES)
 def test_instances_send_nothing_during_their_own_cooldowns(variant):
-    result = measure(ways.ALONE, variant)
+    result = measure(policies.ALONE, variant)
     assert result.turned > 0
     assert result.in_rest == 0
     assert result.most_in_rest == 0
 
 
 def test_requests_during_cooldowns_are_counted_when_they_are_ignored():
-    assert measure(ways.NONE).in_rest > 0
+    assert measure(policies.NONE).in_rest > 0
 
 
 def test_table_is_deterministic_for_a_seed():
     first, second = (
-        scenario.make_table([measure(ways.HINTED)]) for _ in range(2)
+        scenario.make_table([measure(policies.HINTED)]) for _ in range(2)
     )
     assert first == second
--- a/rhubarblock/experiments/endpointrests/scenario.py
+++ b/rhubarblock/experiments/endpointrests/scenario.py
@@ -10,8 +10,8 @@
 
 from rhubarblock.experiments import quantiles
 from rhubarblock.experiments.endpointrests import fleet as fleets
+from rhubarblock.experiments.endpointrests import policies
 from rhubarblock.experiments.endpointrests import sheddingendpoint
-from rhubarblock.experiments.endpointrests import ways
 from rhubarblock.kernel import virtualloop
 
 SIZES = (7, 80, 300)
@@ -83,7 +83,7 @@
 
 
 def measure(
-    way: str = ways.ALONE,
+    way: str = policies.ALONE,
     instances: int = 7,
     variant: str = QUARTER,
     seed: int = 1,
--- a/rhubarblock/experiments/faults/scenario.py
+++ b/rhubarblock/experiments/faults/scenario.py
@@ -167,7 +167,7 @@
     return tuple(sorted(_KINDS_BY_NAME))
 
 
-def find_shortest(seed: int, kinds: tuple[str, ...]) -> list[str]:
+def find_minimal_faults(seed: int, kinds: tuple[str, ...]) -> list[str]:
     """Returns the fewest faults of a seed that still violate a guarantee.
 
     Args:
--- a/rhubarblock/experiments/faults/scenario_test.py
+++ b/rhubarblock/experiments/faults/scenario_test.py
@@ -72,6 +72,6 @@
         return
 
     monkeypatch.setattr(orphans.OrphanCollector, "collect", collect)
-    trace = faults.find_shortest(7, ("instance_death", "operator_race"))
+    trace = faults.find_minimal_faults(7, ("instance_death", "operator_race"))
     assert len(trace) == 1
     assert "instance_death" in trace[0]
--- a/rhubarblock/experiments/idle_test.py
+++ b/rhubarblock/experiments/idle_test.py
@@ -27,7 +27,7 @@
             fleet.finish(caller)
             first_s = idle.predict_first_token(tokens)
             total_s = idle.predict_total(tokens, 30)
-            assert caller.whole
+            assert caller.complete
             assert (
                 0 <= caller.first_s - caller.asked_s - first_s < _ROUND_TRIP_S
             )
--- a/rhubarblock/experiments/overhead/parts.py
+++ b/rhubarblock/experiments/overhead/parts.py
@@ -51,7 +51,7 @@
 
 
 @contextlib.asynccontextmanager
-async def run_surroundings(
+async def run_environment(
     engines: int, gap_s: float, port: int = 0
 ) -> AsyncIterator[Environment]:
     """Runs platform and token sources while the context is open.
--- a/rhubarblock/experiments/overhead/threads.py
+++ b/rhubarblock/experiments/overhead/threads.py
@@ -53,7 +53,7 @@
     """
     async with contextlib.AsyncExitStack() as stack:
         environment = await stack.enter_async_context(
-            overheadparts.run_surroundings(engines, gap_s)
+            overheadparts.run_environment(engines, gap_s)
         )
         targets = [
             await stack.enter_async_context(
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/scenario.py
@@ -17,7 +17,7 @@
 from rhubarblock.exchange import relay as relays
 from rhubarblock.exchange.state import directory as directories
 from rhubarblock.exchange.state import subset as subsets
-from rhubarblock.experiments.platform import mix as mixes
+from rhubarblock.experiments.platform import deployments as platformdeployments
 from rhubarblock.kernel import registry as registries
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.kernel import virtualloop
@@ -64,7 +64,7 @@
       longest_pause_s: longest pause between events in seconds.
     """
 
-    arrival: mixes.Arrival
+    arrival: platformdeployments.Arrival
     refused: bool = False
     first_s: float | None = None
     longest_pause_s: float = 0.0
@@ -135,7 +135,7 @@
 
 
 def measure(
-    plan: mixes.Plan,
+    plan: platformdeployments.Plan,
     policy: str = splitpolicy.SplitPromptPolicy.plugin_name,
     seed: int = 1,
     load: float = 1.0,
@@ -153,7 +153,7 @@
     Raises:
       registries.RegistryError: there is no such policy.
     """
-    arrivals = mixes.draw_arrivals(plan, seed, load, length_s)
+    arrivals = platformdeployments.draw_arrivals(plan, seed, load, length_s)
     outcomes = virtualloop.run(_simulate(plan, policy, arrivals))
     by_kind = {
         kind.name: _summarise([o for o in outcomes if o.arrival.kind is kind])
@@ -171,7 +171,9 @@
 
 
 async def _simulate(
-    plan: mixes.Plan, policy: str, arrivals: list[mixes.Arrival]
+    plan: platformdeployments.Plan,
+    policy: str,
+    arrivals: list[platformdeployments.Arrival],
 ) -> list[Outcome]:
     fleet = Fleet(plan, policy)
     async with asyncio.TaskGroup() as working:
@@ -196,7 +198,7 @@
       engines: the engines by endpoint id.
     """
 
-    def __init__(self, plan: mixes.Plan, policy: str):
+    def __init__(self, plan: platformdeployments.Plan, policy: str):
         """Creates an idle fleet.
 
         Args:
@@ -252,7 +254,7 @@
             directory.update(listed)
         return subsets.Subsets(directory, self._plan.engines_each)
 
-    async def serve(self, arrival: mixes.Arrival) -> Outcome:
+    async def serve(self, arrival: platformdeployments.Arrival) -> Outcome:
         """Serves one request from its arrival to its last event."""
         await asyncio.sleep(arrival.at_s)
         outcome = Outcome(arrival)
@@ -272,7 +274,9 @@
         )
         return outcome
 
-    async def _wait_for_start(self, arrival: mixes.Arrival) -> None:
+    async def _wait_for_start(
+        self, arrival: platformdeployments.Arrival
+    ) -> None:
         """Waits until the policy allows the request to start."""
         policy = self._policies[arrival.instance]
         model = self._plan.model
@@ -285,7 +289,9 @@
                 return
             await asyncio.sleep(min(start_s, relays.START_RECHECK_S))
 
-    def _place(self, arrival: mixes.Arrival) -> prompts.Choice | None:
+    def _place(
+        self, arrival: platformdeployments.Arrival
+    ) -> prompts.Choice | None:
         now_s = _read_clock()
         prompt = _describe(arrival)
         choice = self._policies[arrival.instance].choose(
@@ -381,7 +387,7 @@
     return registry.get(promptpolicy.PLUGIN_GROUP, name)
 
 
-def _describe(arrival: mixes.Arrival) -> prompts.Prompt:
+def _describe(arrival: platformdeployments.Arrival) -> prompts.Prompt:
     """Returns a request in the form that policies take, at this moment."""
     kind = arrival.kind
     return prompts.Prompt(
@@ -398,7 +404,7 @@
     return asyncio.get_running_loop().time()
 
 
-def _compute_weight(arrival: mixes.Arrival) -> float:
+def _compute_weight(arrival: platformdeployments.Arrival) -> float:
     """Returns the weight of a request by its size, 1 for one of mean size."""
     kind = arrival.kind
     event_tokens = kind.event_tokens * OUTPUT_TOKEN_WEIGHT
--- a/rhubarblock/experiments/platform/play_test.py
+++ b/rhubarblock/experiments/platform/scenario_test.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from rhubarblock.experiments.platform import mix as mixes
-from rhubarblock.experiments.platform import play as platformplay
+from rhubarblock.experiments.platform import deployments as platformdeployments
+from rhubarblock.experiments.platform import scenario as platformscenario
 from rhubarblock.kernel import registry as registries
 
 SECONDS = 20.0
 
 
-def play(policy, plan=mixes.HOFBAUER, seed=3, load=1.0):
-    return platformplay.measure(plan, policy, seed, load, SECONDS)
+def play(policy, plan=platformdeployments.HOFBAUER, seed=3, load=1.0):
+    return platformscenario.measure(plan, policy, seed, load, SECONDS)
 
 
 def test_figures_are_deterministic_for_a_seed():
@@ -28,7 +28,9 @@
     # In the first wave long prompts arrive at 2.85 times their rate.
     waiting, at_once = (
         sum(
-            platformplay.measure(mixes.CARONI, policy, seed, 1.0, 9.5).worth
+            platformscenario.measure(
+                platformdeployments.CARONI, policy, seed, 1.0, 9.5
+            ).worth
             for seed in (1, 2, 3, 4, 5, 6)
         )
         for policy in ("parted", "parted_at_once")
@@ -59,8 +61,10 @@
 
 
 def test_outcome_is_lost_when_the_caller_gives_up():
-    arrival = mixes.Arrival(0, 0.0, mixes.HOFBAUER.kinds[0], 5_000, 3, 0)
-    outcome = platformplay.Outcome(arrival, first_s=0.2)
+    arrival = platformdeployments.Arrival(
+        0, 0.0, platformdeployments.HOFBAUER.kinds[0], 5_000, 3, 0
+    )
+    outcome = platformscenario.Outcome(arrival, first_s=0.2)
     assert outcome.is_in_time
     outcome.longest_pause_s = 0.3
     assert not outcome.is_in_time
@@ -70,16 +74,22 @@
 
 
 def test_waves_change_the_mix_of_kinds():
-    arrivals = mixes.draw_arrivals(mixes.ADWOA, 1, 1.0, 19.0)
-    first = [a.kind.name for a in arrivals if a.at_s < mixes.WAVE_S]
-    second = [a.kind.name for a in arrivals if a.at_s >= mixes.WAVE_S]
+    arrivals = platformdeployments.draw_arrivals(
+        platformdeployments.ADWOA, 1, 1.0, 19.0
+    )
+    first = [
+        a.kind.name for a in arrivals if a.at_s < platformdeployments.WAVE_S
+    ]
+    second = [
+        a.kind.name for a in arrivals if a.at_s >= platformdeployments.WAVE_S
+    ]
     assert first.count("long") > second.count("long")
     assert first.count("short") < second.count("short")
 
 
 def make_single_centre_plan(per_s):
     """Returns one data centre of the large fleet, almost only short prompts."""
-    short, middle, long = mixes.LARGE.kinds
+    short, middle, long = platformdeployments.LARGE.kinds
     kinds = (
         # Cancels the factor of the first wave.
         dataclasses.replace(short, per_s=per_s / 0.36),
@@ -87,7 +97,7 @@
         dataclasses.replace(long, per_s=0.01),
     )
     return dataclasses.replace(
-        mixes.LARGE, kinds=kinds, engines=(39,), instances=(39,)
+        platformdeployments.LARGE, kinds=kinds, engines=(39,), instances=(39,)
     )
 
 
@@ -98,7 +108,7 @@
     engine by its own outdated view, only 95% of a burst would be in time.
     """
     # A burst: a fifth of 141 requests a second, times 2.4.
-    result = platformplay.measure(
+    result = platformscenario.measure(
         make_single_centre_plan(68.0), seed=1, length_s=8.0
     )
     assert result.kinds["short"].in_time > 0.99
--- a/rhubarblock/experiments/simulation_test.py
+++ b/rhubarblock/experiments/simulation_test.py
@@ -43,7 +43,7 @@
         answers = [
             (
                 caller.text,
-                caller.whole,
+                caller.complete,
                 caller.outcome.unwrap().prompt_tokens,
                 caller.outcome.unwrap().completion_tokens,
                 caller.outcome.unwrap().finish_reason,
--- a/rhubarblock/experiments/smallfleet_test.py
+++ b/rhubarblock/experiments/smallfleet_test.py
@@ -74,7 +74,7 @@
         return isinstance(self.outcome, result.Failure)
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the caller has exactly its complete answer."""
         expected = enginetokens.expected_text(self.digest, 0, self.wanted)
         return isinstance(self.outcome, result.Success) and (
@@ -82,7 +82,7 @@
         )
 
     @property
-    def own(self) -> bool:
+    def has_own_prefix(self) -> bool:
         """Whether the received text is a prefix of the caller's answer."""
         expected = enginetokens.expected_text(self.digest, 0, self.tokens)
         return self.text == expected
@@ -123,18 +123,18 @@
         return list(self.simulation.cluster)
 
     @property
-    def desks(self) -> list[service.PlainService]:
+    def service_endpoints(self) -> list[service.PlainService]:
         return list(self.simulation.services.values())
 
     @property
     def now_s(self) -> float:
-        return self.do(self.simulation.timers.read_monotonic)
+        return self.call_in_loop(self.simulation.timers.read_monotonic)
 
     def run(self, main: Coroutine[Any, Any, Any]) -> Any:
         """Runs a coroutine on the loop of the fleet."""
         return self._runner.run(main)
 
-    def do(self, function: Callable[..., Any], *args: Any) -> Any:
+    def call_in_loop(self, function: Callable[..., Any], *args: Any) -> Any:
         """Calls a plain function that needs the running event loop."""
 
         async def call() -> Any:
@@ -178,7 +178,7 @@
             self._begin(caller, relay.complete(request, caller))
             return caller
 
-        return self.do(start)
+        return self.call_in_loop(start)
 
     def call(
         self,
@@ -210,7 +210,7 @@
             self._begin(caller, target.instance.caller.call(call))
             return caller
 
-        return self.do(start)
+        return self.call_in_loop(start)
 
     def _begin(self, caller: Caller, work: Coroutine[Any, Any, Any]) -> None:
         async def serve() -> None:
--- a/rhubarblock/relay/promptrelay_test.py
+++ b/rhubarblock/relay/promptrelay_test.py
@@ -25,7 +25,7 @@
     with smallfleet.open_fleet(decoders=decoders) as fleet:
         caller = fleet.ask(tokens=tokens)
         fleet.finish(caller)
-        assert caller.whole
+        assert caller.complete
         completion = caller.outcome.unwrap()
         assert completion.prompt_tokens == tokens
         assert completion.completion_tokens == 20
@@ -44,11 +44,11 @@
         if fault == "cut":
             engine.faults.cut_next = 1
         elif fault == "pause":
-            fleet.do(engine.pause, 30.0)
+            fleet.call_in_loop(engine.pause, 30.0)
         else:
-            fleet.do(getattr(engine, fault))
+            fleet.call_in_loop(getattr(engine, fault))
         fleet.finish(caller)
-        assert caller.whole
+        assert caller.complete
         assert caller.outcome.unwrap().attempts == 2
         fleet.advance(31.0 if fault == "pause" else 3.0)
         assert list_held(fleet) == []
@@ -67,7 +67,7 @@
 
         caller.write = write_slowly
         fleet.finish(caller)
-        assert caller.whole
+        assert caller.complete
         assert caller.outcome.unwrap().attempts == 1
         views = fleet.nodes[0].instance.endpoints.states.list_views()
         assert not any(view.probation for view in views)
--- a/rhubarblock/scripts/measure.py
+++ b/rhubarblock/scripts/measure.py
@@ -18,12 +18,12 @@
 from rhubarblock.experiments import simulation
 from rhubarblock.experiments.endpointlimits import fleet as limitfleet
 from rhubarblock.experiments.endpointlimits import scenario as endpointlimits
+from rhubarblock.experiments.endpointrests import policies as restpolicies
 from rhubarblock.experiments.endpointrests import scenario as endpointrests
-from rhubarblock.experiments.endpointrests import ways as restways
 from rhubarblock.experiments.faults import scenario as faults
 from rhubarblock.experiments.limits import scenario as limits
-from rhubarblock.experiments.platform import mix as platformmix
-from rhubarblock.experiments.platform import play as platformplay
+from rhubarblock.experiments.platform import deployments as platformdeployments
+from rhubarblock.experiments.platform import scenario as platformscenario
 from rhubarblock.experiments.storereturn import fleet as returnfleet
 from rhubarblock.experiments.storereturn import scenario as storereturn
 from rhubarblock.kernel import registry as registries
@@ -82,7 +82,7 @@
 add_mixed("mixed-hofbauer", mixed.HOFBAUER)
 
 
-def add_platform(plan: platformmix.Plan) -> None:
+def add_platform(plan: platformdeployments.Plan) -> None:
     """Adds the command that measures one deployment on the users' platform."""
 
     @measure_group.command(plan.name)
@@ -101,7 +101,7 @@
     @json_option
     def run(policy: str, seed: int, load: float, as_json: bool) -> None:
         try:
-            figures = platformplay.measure(plan, policy, seed, load)
+            figures = platformscenario.measure(plan, policy, seed, load)
         except registries.RegistryError as error:
             raise click.UsageError(str(error)) from error
         print_result(figures, as_json)
@@ -109,10 +109,10 @@
     run.help = "Prompts on modelled engines of the users' platform."
 
 
-add_platform(platformmix.ADWOA)
-add_platform(platformmix.HOFBAUER)
-add_platform(platformmix.CARONI)
-add_platform(platformmix.LARGE)
+add_platform(platformdeployments.ADWOA)
+add_platform(platformdeployments.HOFBAUER)
+add_platform(platformdeployments.CARONI)
+add_platform(platformdeployments.LARGE)
 
 
 @measure_group.command("endpoint-limits")
@@ -150,9 +150,9 @@
 @click.option(
     "--way",
     "chosen_ways",
-    type=click.Choice(restways.WAYS),
+    type=click.Choice(restpolicies.WAYS),
     multiple=True,
-    default=restways.WAYS,
+    default=restpolicies.WAYS,
     show_default=True,
 )
 @click.option(
@@ -369,7 +369,7 @@
             _print_violations(
                 seed_number,
                 violations,
-                faults.find_shortest(seed_number, kinds),
+                faults.find_minimal_faults(seed_number, kinds),
             )
     if first != last:
         click.echo(
--- a/rhubarblock/scripts/measurecosts.py
+++ b/rhubarblock/scripts/measurecosts.py
@@ -131,7 +131,7 @@
     """Runs the stand-in platform and the token sources until SIGTERM."""
     asyncio.run(
         _run_until_stopped(
-            overheadparts.run_surroundings(engines, gap_ms / _MS_PER_S, port)
+            overheadparts.run_environment(engines, gap_ms / _MS_PER_S, port)
         )
     )
 
