--- a/rhubarblock/daemon/callerserver.py
+++ b/rhubarblock/daemon/callerserver.py
@@ -50,7 +50,7 @@
     try:
         return await handler(request)
     except web.HTTPException as error:
-        response = apierrors.answer(apierrors.convert_http_error(error))
+        response = apierrors.make_response(apierrors.convert_http_error(error))
         response.set_status(error.status)
         return response
     except ConnectionError:
@@ -58,7 +58,7 @@
         raise
     except Exception:
         _logger.exception("unexpected error", extra={"path": request.path})
-        return apierrors.answer(
+        return apierrors.make_response(
             failures.Failure(
                 failures.FailureCode.INTERNAL,
                 "unexpected error; see the log of this instance",
@@ -159,7 +159,7 @@
                 "the request line or a header field is over "
                 f"{self.max_field_size} bytes"
             )
-        response = apierrors.answer(
+        response = apierrors.make_response(
             failures.Failure(failures.FailureCode.BAD_REQUEST, reason)
         )
         response.set_status(status)
--- a/rhubarblock/exchange/requesthandler.py
+++ b/rhubarblock/exchange/requesthandler.py
@@ -119,7 +119,7 @@
         if sink.response is not None:
             sink.cut()
             return sink.response
-        response = apierrors.answer(failure)
+        response = apierrors.make_response(failure)
         if failure.retry_after_s is not None:
             # Callers accept fractions of seconds, which spread retries better.
             response.headers["Retry-After"] = f"{failure.retry_after_s:g}"
--- a/rhubarblock/experiments/endpointrests/fleet.py
+++ b/rhubarblock/experiments/endpointrests/fleet.py
@@ -187,7 +187,7 @@
     """Instances that send to the endpoints of one service.
 
     Attributes:
-      way: the cool-down policy, one of ``ways.WAYS``.
+      way: the cool-down policy, one of ``policies.WAYS``.
       seed: seed of arrivals and run times.
       timers: the timer service.
       endpoints: the endpoints by id.
@@ -200,7 +200,7 @@
         """Creates idle instances and endpoints.
 
         Args:
-          way: one of ``ways.WAYS``.
+          way: one of ``policies.WAYS``.
           count: number of instances.
           shed_rate: part of its capacity that an endpoint accepts while it
             sheds.
--- a/rhubarblock/experiments/endpointrests/scenario.py
+++ b/rhubarblock/experiments/endpointrests/scenario.py
@@ -38,7 +38,7 @@
     Attributes:
       variant: a key of ``SHED_RATES``.
       instances: number of instances.
-      way: the cool-down policy, one of ``ways.WAYS``.
+      way: the cool-down policy, one of ``policies.WAYS``.
       seed: seed of the run.
       mean_ms: mean time of answered requests, including a caller's retry.
       p99_ms: 99th percentile of that time.
@@ -92,7 +92,7 @@
     """Runs the scenario on the fake clock.
 
     Args:
-      way: one of ``ways.WAYS``.
+      way: one of ``policies.WAYS``.
       instances: number of instances.
       variant: a key of ``SHED_RATES``.
       seed: seed of arrivals and run times.
--- a/rhubarblock/experiments/platform/__init__.py
+++ b/rhubarblock/experiments/platform/__init__.py
@@ -1,5 +1,5 @@
 """Simulates placement policies on modelled engines of the users' deployments.
 
-``play`` is the interface to other packages; ``mix`` defines the deployments
-and draws the requests.
+``scenario`` is the interface to other packages; ``deployments`` defines the
+deployments and draws the requests.
 """
--- a/rhubarblock/relay/apierrors.py
+++ b/rhubarblock/relay/apierrors.py
@@ -32,7 +32,7 @@
     }
 
 
-def answer(failure: failures.Failure) -> web.Response:
+def make_response(failure: failures.Failure) -> web.Response:
     """Returns a failure as an HTTP response."""
     headers = {VERDICT_HEADER: failure.verdict.value}
     if failure.retry_after_s is not None:
--- a/rhubarblock/relay/completionsapi.py
+++ b/rhubarblock/relay/completionsapi.py
@@ -95,7 +95,7 @@
     async def fail(self, failure: failures.Failure) -> web.StreamResponse:
         """Ends an incomplete answer with an error event and without DONE."""
         if self.response is None:
-            return apierrors.answer(failure)
+            return apierrors.make_response(failure)
         fields = apierrors.describe(failure)
         await self.response.write(events.format_event(fields))
         await self.response.write_eof()
@@ -152,7 +152,7 @@
                 timeout_s,
             )
         except failures.FailureError as error:
-            return apierrors.answer(error.failure)
+            return apierrors.make_response(error.failure)
         if call.stream:
             return await self._serve_stream(http, request, call.include_usage)
         return await self._serve_whole(request)
@@ -176,7 +176,7 @@
         sink = sinks.MemorySink()
         outcome = await self._relay.complete(request, sink)
         if isinstance(outcome, result.Failure):
-            return apierrors.answer(outcome.failure())
+            return apierrors.make_response(outcome.failure())
         fields = events.describe_completion(
             request.request_id,
             int(self._context.timers.read_wall()),
@@ -195,7 +195,7 @@
         try:
             credential = self._context.find_caller(http)
         except failures.FailureError as error:
-            return apierrors.answer(error.failure)
+            return apierrors.make_response(error.failure)
         catalogue = self._context.catalogue()
         workspace = catalogue.workspaces.get(credential.workspace)
         names = workspace.models if workspace else ()
--- a/rhubarblock/relay/servicesapi.py
+++ b/rhubarblock/relay/servicesapi.py
@@ -61,7 +61,7 @@
             with self._lifecycle.begin_request():
                 return await self._serve(http)
         except failures.FailureError as error:
-            return apierrors.answer(error.failure)
+            return apierrors.make_response(error.failure)
 
     async def _serve(self, http: web.Request) -> web.StreamResponse:
         call = await self._read_call(http)
@@ -73,14 +73,14 @@
             False,
         )
         if isinstance(admitted, result.Failure):
-            return apierrors.answer(admitted.failure())
+            return apierrors.make_response(admitted.failure())
         ticket = admitted.unwrap()
         try:
             outcome = await self._caller.call(call)
         finally:
             ticket.close()
         if isinstance(outcome, result.Failure):
-            return apierrors.answer(outcome.failure())
+            return apierrors.make_response(outcome.failure())
         answer = outcome.unwrap()
         headers = {
             apierrors.VERDICT_HEADER: verdicts.Verdict.RAN.value,
