--- a/rhubarblock/exchange/attempts.py
+++ b/rhubarblock/exchange/attempts.py
@@ -29,7 +29,7 @@
 MIN_PAUSE_S = 0.8
 # Longest answer body in bytes that is buffered until it is complete.
 MAX_BUFFERED_BYTES = 1 << 18
-# Statuses that tell a caller that the request has not run.
+# Statuses from which a caller concludes that the request has not run.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 _Reason = stalls.Reason
@@ -159,8 +159,8 @@
         Args:
           flow: the exchange.
           placement: where it is sent.
-          may_abandon: takes a retry from the budget; returns False if there is
-            to be none.
+          may_abandon: takes a retry from the budget; returns False if the
+            attempt must continue.
 
         Raises:
           RefusedError: the endpoint did not run the exchange.
@@ -311,7 +311,7 @@
 
 
 def _check_refusal(answer: transports.Answer) -> None:
-    """Raises RefusedError if the endpoint states that it did not run."""
+    """Raises RefusedError if the endpoint states that it did not run it."""
     if answer.fields.refused:
         raise RefusedError(answer.status, answer.fields)
 
--- a/rhubarblock/exchange/callbalancer.py
+++ b/rhubarblock/exchange/callbalancer.py
@@ -1,4 +1,7 @@
-"""Balances plain calls by the calls in flight at each endpoint."""
+"""Balances plain calls by the calls in flight at each endpoint.
+
+A plain call is a request that carries no prompt for an engine.
+"""
 
 from collections.abc import Iterator
 import contextlib
--- a/rhubarblock/exchange/candidates.py
+++ b/rhubarblock/exchange/candidates.py
@@ -17,11 +17,11 @@
 from rhubarblock.routing import cooldowns
 from rhubarblock.routing import health as healths
 
-# Jitter in seconds on the Retry-After of callers that a cool-down refused: the
-# first of them probes the endpoint.
+# Jitter in seconds on the Retry-After of callers that were refused because of a
+# cool-down, so that only one of them probes the endpoint at first.
 COOLDOWN_SPREAD_S = 1.0
 # Longest prompt in tokens that may probe an endpoint that failed.
-TRIAL_TOKENS = 8_000
+MAX_PROBE_TOKENS = 8_000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -121,7 +121,7 @@
             for endpoint in usable
             if not self._is_deprioritised(endpoint, now_s)
         ]
-        if exchange.prompt_tokens <= TRIAL_TOKENS:
+        if exchange.prompt_tokens <= MAX_PROBE_TOKENS:
             return self._limits.select_due(healthy) or healthy or usable
         # A split prefill takes many requests, so rate-limited endpoints come
         # last.
@@ -143,7 +143,8 @@
           avoid: ids of endpoints at which it failed.
 
         Returns:
-          None if neither a rate limit nor a cool-down blocks some endpoint.
+          None if an endpoint is available that has no rate limit, or if there
+          is no endpoint to wait for.
         """
         ready = self._list_not_cooling_down(exchange, avoid)
         permit_s = self._limits.predict_permit(ready)
@@ -170,7 +171,8 @@
             return None
         cooldown_s = None
         if len(self._list_not_cooling_down(exchange, set())) == len(ready):
-            # An endpoint that refused this request may accept the next one.
+            # Otherwise an endpoint that failed this request has no cool-down
+            # and may accept the caller's next one sooner.
             cooldown_s = self._find_cooldown_end(exchange, set())
         if cooldown_s is not None:
             cooldown_s += COOLDOWN_SPREAD_S * self._rng.random()
@@ -215,7 +217,7 @@
         usable = self._limits.select_available(used)
         if len(usable) == len(used):
             return used
-        if not usable or exchange.prompt_tokens <= TRIAL_TOKENS:
+        if not usable or exchange.prompt_tokens <= MAX_PROBE_TOKENS:
             now_s = self._timers.read_monotonic()
             max_wait_s = endpointlimits.find_max_wait(exchange, now_s)
             within_s = max(endpointlimits.MIN_PERMIT_WAIT_S, max_wait_s)
--- a/rhubarblock/exchange/candidates_test.py
+++ b/rhubarblock/exchange/candidates_test.py
@@ -76,8 +76,8 @@
         instance.health.note_unreachable("e1", "osu-hall", now_s)
         seen = [instance.list_for()]
         await asyncio.sleep(healths.INITIAL_BACKOFF_S)
-        seen.append(instance.list_for(candidates.TRIAL_TOKENS))
-        seen.append(instance.list_for(candidates.TRIAL_TOKENS + 1))
+        seen.append(instance.list_for(candidates.MAX_PROBE_TOKENS))
+        seen.append(instance.list_for(candidates.MAX_PROBE_TOKENS + 1))
         return seen
 
     assert run(step) == [["e0", "e2"], ["e0", "e1", "e2"], ["e0", "e2"]]
@@ -103,7 +103,7 @@
         now_s = asyncio.get_running_loop().time()
         seen = [
             instance.list_for(),
-            instance.list_for(candidates.TRIAL_TOKENS + 1),
+            instance.list_for(candidates.MAX_PROBE_TOKENS + 1),
         ]
         # It is none even if all others failed.
         instance.health.note_unreachable("e0", "osu-hall", now_s)
--- a/rhubarblock/exchange/dialect.py
+++ b/rhubarblock/exchange/dialect.py
@@ -1,7 +1,7 @@
 """Interface to the header fields and formats of a deployment.
 
-The relay knows the meaning of a deadline, a key or a refusal; a dialect knows
-how a deployment encodes it. Each deployment has an adapter that implements the
+The relay handles deadlines, keys and refusals; a dialect encodes and decodes
+them as a deployment does. Each deployment has an adapter that implements the
 interface, so the product contains no names of a deployment.
 """
 
--- a/rhubarblock/exchange/endpointlimits.py
+++ b/rhubarblock/exchange/endpointlimits.py
@@ -26,8 +26,9 @@
 RECHECK_AFTER_S = 5.0
 # Seconds after which a change is sent again, since a datagram may be lost.
 RESEND_S = 0.4
-# Longest time in seconds that a new request waits for a permit if all endpoints
-# need one, and the largest fraction of its timeout.
+# Longest time in seconds that a new request waits for a permit or the end of a
+# cool-down if no endpoint is available, and the largest fraction of its
+# timeout.
 WAIT_S = 1.0
 WAIT_FRACTION = 0.3
 # Minimum in seconds of the time within which a requested permit must arrive:
@@ -75,7 +76,7 @@
 
         Args:
           peers: the other instances.
-          rng: jitter of repeated permit requests.
+          rng: jitter of Retry-After and of repeated permit requests.
           timers: the clock.
           metrics: counters.
         """
@@ -95,7 +96,7 @@
     def note_answer(
         self, endpoint_id: str, stated: ratelimits.StatedLimit, sent_s: float
     ) -> None:
-        """Records the limit in an answer and tells peers if it changed.
+        """Records the limit in an answer and reports a change to peers.
 
         Args:
           endpoint_id: the endpoint that answered.
@@ -188,9 +189,11 @@
         """Returns the endpoints whose last statement of a limit is old."""
         if not self._table:
             return []
-        min_heard_s = self._timers.read_monotonic() - RECHECK_AFTER_S
+        min_received_s = self._timers.read_monotonic() - RECHECK_AFTER_S
         return [
-            e for e in endpoints if self._is_older(e.endpoint_id, min_heard_s)
+            e
+            for e in endpoints
+            if self._is_older(e.endpoint_id, min_received_s)
         ]
 
     def predict_permit(
@@ -251,9 +254,10 @@
         if grant is not None:
             self._peers.send_grant(peer, grant)
             return
-        ended = self._table.describe(request.report.endpoint_id, now_s)
-        if ended is not None:
-            self._peers.send_report(peer, ended)
+        # There is no limit any more, so the peer needs no permit.
+        report = self._table.describe(request.report.endpoint_id, now_s)
+        if report is not None:
+            self._peers.send_report(peer, report)
 
     def receive_grant(self, peer: str, grant: messages.PermitGrant) -> None:
         """Handles permits that a peer granted."""
@@ -283,9 +287,9 @@
             return True
         return self._held.has(endpoint_id, now_s)
 
-    def _is_older(self, endpoint_id: str, min_heard_s: float) -> bool:
+    def _is_older(self, endpoint_id: str, min_received_s: float) -> bool:
         limit = self._table.find(endpoint_id)
-        return limit is not None and limit.statement.received_s < min_heard_s
+        return limit is not None and limit.statement.received_s < min_received_s
 
     def _send_report(self, endpoint_id: str) -> None:
         now_s = self._timers.read_monotonic()
--- a/rhubarblock/exchange/fakeparts_test.py
+++ b/rhubarblock/exchange/fakeparts_test.py
@@ -155,7 +155,7 @@
     return script
 
 
-def events(*numbers, end=True, rest=b"", extra=""):
+def events(*numbers, end=True, partial=b"", extra=""):
     """Returns a script that streams events, and then ends or resets."""
 
     async def script(head, writer):
@@ -166,8 +166,8 @@
         )
         for number in numbers:
             write_chunk(writer, b"id: %d\ndata: x\n\n" % number)
-        if rest:
-            write_chunk(writer, rest)
+        if partial:
+            write_chunk(writer, partial)
         if end:
             writer.write(b"0\r\n\r\n")
         else:
@@ -182,7 +182,7 @@
 
 
 class NoLeases(dialects.LeaseClient):
-    async def reserve(self, endpoint, order):
+    async def reserve(self, endpoint, request):
         return dialects.LeaseReply(dialects.LeaseAnswer.DONE)
 
     async def release(self, endpoint, lease_id):
@@ -211,7 +211,7 @@
         pass
 
 
-def make_taker(limits, timers):
+def make_statement_handler(limits, timers):
     metrics = metric_store.Metrics()
     return statements.StatementHandler(
         directories.Directory(timers),
--- a/rhubarblock/exchange/leases.py
+++ b/rhubarblock/exchange/leases.py
@@ -163,9 +163,9 @@
         if not was_unsure:
             return
         waited_s = 0.0
-        for moment_s in LATE_RELEASES_S:
-            await self._timers.sleep(moment_s - waited_s)
-            waited_s = moment_s
+        for delay_s in LATE_RELEASES_S:
+            await self._timers.sleep(delay_s - waited_s)
+            waited_s = delay_s
             await self._release(lease)
 
     async def _release(self, lease: Lease) -> dialects.LeaseReply:
--- a/rhubarblock/exchange/leases_test.py
+++ b/rhubarblock/exchange/leases_test.py
@@ -66,7 +66,10 @@
         timers = timer_service.LoopTimers(0.0)
         limits = fakes.make_limits(timers)
         holder = leases.LeaseHolder(
-            engines, fakes.BOUNDS, fakes.make_taker(limits, timers), timers
+            engines,
+            fakes.BOUNDS,
+            fakes.make_statement_handler(limits, timers),
+            timers,
         )
         return await step(holder, timers)
 
@@ -163,13 +166,16 @@
         timers = timer_service.LoopTimers(0.0)
         limits = fakes.make_limits(timers)
         holder = leases.LeaseHolder(
-            engines, fakes.BOUNDS, fakes.make_taker(limits, timers), timers
+            engines,
+            fakes.BOUNDS,
+            fakes.make_statement_handler(limits, timers),
+            timers,
         )
         async with holder.hold(WANTED):
-            named = limits.find_rate("e1")
+            stated = limits.find_rate("e1")
             engines.limit = ratelimits.NO_STATED_LIMIT
             await timers.sleep(10.0)
             # Only answers to exchanges end a limit.
-            return named, limits.find_rate("e1")
+            return stated, limits.find_rate("e1")
 
     assert virtualloop.run(main()) == (2.0, 2.0)
--- a/rhubarblock/exchange/outcomes.py
+++ b/rhubarblock/exchange/outcomes.py
@@ -189,7 +189,7 @@
             self.suspect(endpoint)
 
     def suspect(self, endpoint: lists.ListedEndpoint) -> None:
-        """Marks an endpoint as suspect and tells peers in this data centre."""
+        """Marks an endpoint as suspect and announces that to near peers."""
         now_s = self._timers.read_monotonic()
         is_new = self._health.note_unreachable(
             endpoint.endpoint_id, endpoint.data_centre, now_s
--- a/rhubarblock/exchange/peering/limitupdates.py
+++ b/rhubarblock/exchange/peering/limitupdates.py
@@ -155,12 +155,12 @@
 
 
 def _read_report(fields: list[Any]) -> messages.LimitReport:
-    endpoint_id, per_s, sent_ms, heard_ms = fields[:4]
+    endpoint_id, per_s, sent_ms, received_ms = fields[:4]
     return messages.LimitReport(
         str(endpoint_id),
         None if per_s is None else float(per_s),
         sent_ms / _MS_PER_S,
-        heard_ms / _MS_PER_S,
+        received_ms / _MS_PER_S,
     )
 
 
--- a/rhubarblock/exchange/peering/limitupdates_test.py
+++ b/rhubarblock/exchange/peering/limitupdates_test.py
@@ -12,7 +12,7 @@
 from rhubarblock.kernel import timers as timer_service
 from rhubarblock.routing.endpointlimits import messages
 
-NAMED = ratelimits.StatedLimit(50.0)
+STATED = ratelimits.StatedLimit(50.0)
 
 
 class Node(updates_test.Node):
@@ -21,11 +21,11 @@
     def __init__(self, name):
         super().__init__(name)
         timers = timer_service.LoopTimers()
-        self.net_peers = limitupdates.DatagramLimitPeers(
+        self.limit_peers = limitupdates.DatagramLimitPeers(
             self.updates, self.peers, self.updates._subsets, name, "osu", timers
         )
         self.limits = endpointlimits.EndpointLimits(
-            self.net_peers, random.Random(1), timers, metric_store.Metrics()
+            self.limit_peers, random.Random(1), timers, metric_store.Metrics()
         )
         limitupdates.connect(self.updates, self.limits)
 
@@ -48,13 +48,13 @@
     return asyncio.run(main())
 
 
-def find_rate(end):
-    return end.limits.find_rate("e1")
+def find_rate(node):
+    return node.limits.find_rate("e1")
 
 
 def test_peer_receives_a_limit_and_its_end():
     async def step(first, second):
-        first.limits.note_answer("e1", NAMED, 0.0)
+        first.limits.note_answer("e1", STATED, 0.0)
         await updates_test.wait_for(lambda: find_rate(second) == 50.0)
         sent_s = asyncio.get_running_loop().time()
         second.limits.note_answer("e1", ratelimits.NO_STATED_LIMIT, sent_s)
@@ -65,16 +65,16 @@
 
 def test_both_instances_choose_the_same_coordinator_and_get_permits():
     async def step(first, second):
-        first.limits.note_answer("e1", NAMED, 0.0)
+        first.limits.note_answer("e1", STATED, 0.0)
         limited = [fakes.make_endpoint(1)]
         await updates_test.wait_for(lambda: find_rate(second))
         chosen = [
-            end.net_peers.choose_coordinator("e1", set()) or end.name
-            for end in (first, second)
+            node.limit_peers.choose_coordinator("e1", set()) or node.name
+            for node in (first, second)
         ]
-        for end in (first, second):
-            while not end.limits.select_available(limited):
-                end.limits.request_permit(limited, "q1", 1.0)
+        for node in (first, second):
+            while not node.limits.select_available(limited):
+                node.limits.request_permit(limited, "q1", 1.0)
                 await asyncio.sleep(0.005)
         return chosen
 
@@ -84,7 +84,7 @@
 
 def test_silent_coordinator_is_not_chosen():
     async def step(first, second):
-        peers = first.net_peers
+        peers = first.limit_peers
         return (
             peers.count_users("e1"),
             peers.choose_coordinator("e1", {second.name}),
@@ -109,7 +109,7 @@
             first.updates.send_to(second.address, ["l", *fields])
             first.updates.send_to(second.address, ["q", *fields])
             first.updates.send_to(second.address, ["t", *fields])
-        first.limits.note_answer("e1", NAMED, 0.0)
+        first.limits.note_answer("e1", STATED, 0.0)
         await updates_test.wait_for(lambda: find_rate(second) == 50.0)
 
     run(step)
--- a/rhubarblock/exchange/peering/table.py
+++ b/rhubarblock/exchange/peering/table.py
@@ -1,4 +1,4 @@
-"""The other instances that this one knows.
+"""The other instances known to this one.
 
 Peers are discovered from the store's list and from their own datagrams. One
 that has been silent counts as dead. In each data centre, the live instance with
@@ -19,11 +19,14 @@
 # network cut that must heal without a new list.
 FORGET_AFTER_S = 60.0
 # Seconds of silence after which a peer counts as dead: two heartbeat intervals
-# and some delay. A peer that dies earlier just doesn't answer requests.
+# and some delay. Until then, a dead peer is noticed only when it leaves a
+# request unanswered.
 ALIVE_S = 13.0
-# Seconds for which a peer that served no state is not polled again.
+# Seconds for which a peer that served no fresh state is not chosen as the
+# reader.
 BACKOFF_S = 3.0
-# Number of peers that are polled for state while the store is unreachable.
+# Largest number of peers that are polled for state while the store is
+# unreachable.
 MAX_POLLED_PEERS = 4
 # Heartbeat interval in seconds to peers that may choose this instance as their
 # reader. Other peers only need to know that it exists and get one in
@@ -47,7 +50,8 @@
       source: id of its latest known start; empty until known.
       data_centre: its data centre; empty until known.
       capacity: capacity of its machine; unknown at first.
-      backoff_until_s: until when it is not polled for state.
+      backoff_until_s: until when it is not chosen as the reader, in monotonic
+        seconds.
     """
 
     last_seen_s: float
@@ -157,8 +161,9 @@
         """Returns the address of the reader, or None if it is this instance.
 
         The reader is the live instance of this data centre with the largest
-        capacity; ties are broken by name. A large data centre is split into
-        groups, each with a reader of its own.
+        capacity; ties are broken by name. Peers that are backed off from are
+        left out. A large data centre is split into groups, each with a reader
+        of its own.
         """
         now_s = self._timers.read_monotonic()
         candidates = [
@@ -189,7 +194,7 @@
         ]
 
     def back_off_from(self, address: str) -> None:
-        """Does not poll a peer for a while."""
+        """Excludes a peer from the choice of the reader for a while."""
         host, _, port = address.rpartition(":")
         peer = self._peers.get((host, int(port)))
         if peer is not None:
@@ -197,7 +202,7 @@
             peer.backoff_until_s = now_s + BACKOFF_S
 
     def list_peers(self) -> list[str]:
-        """Returns addresses of live peers to poll for state.
+        """Returns the addresses of live peers to poll for state.
 
         Peers of this data centre come first, then the most recently seen.
         """
--- a/rhubarblock/exchange/peering/table_test.py
+++ b/rhubarblock/exchange/peering/table_test.py
@@ -43,8 +43,8 @@
         seen = []
         for wait_s in (12.0, 2.0, 60.0):
             await asyncio.sleep(wait_s)
-            told = list(table.list_recipients(lambda address, peer: True))
-            seen.append((table.find_reader(), told))
+            recipients = list(table.list_recipients(lambda address, peer: True))
+            seen.append((table.find_reader(), recipients))
         return seen, table.count_instances()
 
     assert run(step) == (
@@ -53,7 +53,7 @@
     )
 
 
-def test_peer_is_asked_again_after_the_backoff():
+def test_peer_may_be_the_reader_again_after_the_backoff():
     async def step():
         table = make_table()
         table.add(*FIRST, "i1", "osu")
--- a/rhubarblock/exchange/peering/updates.py
+++ b/rhubarblock/exchange/peering/updates.py
@@ -1,8 +1,8 @@
 """Datagrams between instances about placed work and endpoint failures.
 
-They are sent once and never acknowledged: a lost datagram only makes a
-prediction worse for a moment. An instance that starts later is known from its
-first datagram, and then receives the running jobs.
+They are never acknowledged and, except for crashes, sent once: a lost datagram
+only makes a prediction worse for a moment. An instance that starts later
+becomes known by its first datagram, and then receives the running jobs.
 """
 
 import asyncio
@@ -72,14 +72,15 @@
         metrics: metric_store.Metrics,
         capacity: capacities.Capacity = capacities.UNKNOWN,
     ):
-        """Creates an endpoint that is not open yet.
+        """Creates a channel that is not open yet.
 
         Args:
           own_id: name of this instance.
           start_id: unique for each start of an instance.
           data_centre: data centre of this instance.
           job_tracker: receives jobs that peers placed.
-          health: receives failures that peers of the same data centre met.
+          health: receives failures that peers of the same data centre
+            observed.
           subsets_: which peers use which engines.
           peers: the other instances; senders are added to it.
           timers: the clock.
@@ -88,13 +89,13 @@
         """
         self._metrics = metrics
         self._own_id = own_id
-        self._prefix = f"{own_id}.{start_id}"
+        self._source = f"{own_id}.{start_id}"
         self._data_centre = data_centre
         self._heartbeat = [
             _HEARTBEAT,
             own_id,
             data_centre,
-            self._prefix,
+            self._source,
             [capacity.link_mbps, capacity.cores],
         ]
         # Running jobs of this instance, and when they were placed.
@@ -103,7 +104,7 @@
         self._health = health
         self._subsets = subsets_
         self._timers = timers
-        self._heartbeats = 0
+        self._heartbeat_count = 0
         self._peers = peers
         self._transport: asyncio.DatagramTransport | None = None
         self._listeners: dict[str, Listener] = {}
@@ -117,11 +118,11 @@
     @property
     def source(self) -> str:
         """Id of this start of this instance."""
-        return self._prefix
+        return self._source
 
     def make_job_id(self, number: int) -> str:
         """Returns the id of a new job, unique over all instances."""
-        return f"{self._prefix}.{number}"
+        return f"{self._source}.{number}"
 
     @contextlib.asynccontextmanager
     async def open(self, host: str, port: int) -> AsyncIterator["PeerUpdates"]:
@@ -143,8 +144,8 @@
 
     async def send_heartbeat(self) -> None:
         """Sends a heartbeat, usually only to peers that share a reader."""
-        is_for_all = self._heartbeats % peer_table.FAR_HEARTBEATS == 0
-        self._heartbeats += 1
+        is_for_all = self._heartbeat_count % peer_table.FAR_HEARTBEATS == 0
+        self._heartbeat_count += 1
         if is_for_all:
             self._broadcast(self._heartbeat, _accepts_all)
             return
@@ -169,7 +170,8 @@
     def announce_broken(self, endpoint_id: str, data_centre: str) -> None:
         """Announces an endpoint that broke a connection or stalled.
 
-        Only peers of this data centre are told, as they share its network path.
+        Only peers of this data centre receive it, as they share its network
+        path.
         """
         self._broadcast(
             [_BROKEN, self._data_centre, endpoint_id, data_centre],
@@ -257,7 +259,7 @@
         address: peer_table.Address,
         now_s: float,
     ) -> None:
-        """Updates the sender's record; a new start drops its old jobs."""
+        """Updates the sender's record and drops its jobs after a restart."""
         _, peer.instance_id, peer.data_centre, source, capacity = fields
         peer.capacity = capacities.Capacity(*map(float, capacity))
         if source == peer.source:
--- a/rhubarblock/exchange/peering/updates_test.py
+++ b/rhubarblock/exchange/peering/updates_test.py
@@ -114,10 +114,10 @@
 
 def test_closed_channel_sends_nothing():
     async def main():
-        end = Node("i1")
-        end.updates.announce_placed(JOB)
-        await end.updates.send_heartbeat()
-        return end.peers.count_instances()
+        node = Node("i1")
+        node.updates.announce_placed(JOB)
+        await node.updates.send_heartbeat()
+        return node.peers.count_instances()
 
     assert asyncio.run(main()) == 1
 
@@ -129,9 +129,9 @@
     await wait_for(lambda: peer.instance_id == "i2")
 
 
-def list_engines(end, count):
+def list_engines(node, count):
     for number in range(count):
-        end.directory.update(
+        node.directory.update(
             lists.ListedEndpoint(f"e{number}", "a:1", "osu", "pool", 8, False)
         )
 
@@ -143,15 +143,17 @@
 
 def test_peer_receives_only_jobs_of_engines_that_it_uses():
     async def step(first, second):
-        for end in (first, second):
-            list_engines(end, 50)
+        for node in (first, second):
+            list_engines(node, 50)
         await exchange_heartbeats(first, second)
         for number in range(50):
             first.updates.announce_placed(make_job(number))
         # Every instance uses unlisted engines, so this arrives, and last.
         first.updates.announce_placed(JOB)
         await wait_for(lambda: second.job_tracker.find("a").jobs)
-        heard = [n for n in range(50) if second.job_tracker.find(f"e{n}").jobs]
+        received = [
+            n for n in range(50) if second.job_tracker.find(f"e{n}").jobs
+        ]
         used = [
             n
             for n in range(50)
@@ -159,25 +161,25 @@
                 "i2", "osu", f"e{n}"
             )
         ]
-        return heard, used
+        return received, used
 
-    heard, used = run(step)
-    assert heard == used
+    received, used = run(step)
+    assert received == used
     assert 0 < len(used) < 25
 
 
 def test_far_peer_gets_every_fourth_heartbeat():
     async def step(first, second):
         await exchange_heartbeats(first, second)
-        heard = []
-        second.updates._apply = lambda fields, peer, now_s: heard.append(
+        received = []
+        second.updates._apply = lambda fields, peer, now_s: received.append(
             fields[0]
         )
         for _ in range(5):
             await first.updates.send_heartbeat()
         first.updates.announce_placed(JOB)
-        await wait_for(lambda: "p" in heard)
-        return heard
+        await wait_for(lambda: "p" in received)
+        return received
 
     assert run(step) == [*"ggggg", "p"]
     assert run(step, "tema") == ["g", "p"]
--- a/rhubarblock/exchange/permitqueue.py
+++ b/rhubarblock/exchange/permitqueue.py
@@ -38,7 +38,11 @@
                 self._passed.pop(service, None)
 
     def is_next(self, service: str, workspace: str) -> bool:
-        """Returns whether no other waiting workspace had its turn earlier."""
+        """Returns whether no other waiting workspace comes first.
+
+        Workspaces without a turn come first, then those whose last turn was
+        earliest.
+        """
         passed = self._passed.get(service, {})
         waiting = self._waiting.get(service, {})
         own = passed.get(workspace, 0)
--- a/rhubarblock/exchange/permitqueue_test.py
+++ b/rhubarblock/exchange/permitqueue_test.py
@@ -5,7 +5,7 @@
 from rhubarblock.exchange import permitqueue
 
 
-def play(waiting, turns):
+def simulate(waiting, turns):
     """Lets waiting requests proceed one at a time; returns their workspaces."""
     queue = permitqueue.PermitQueue()
     order = []
@@ -21,11 +21,11 @@
 
 
 def test_workspaces_take_turns_however_many_requests_they_have():
-    assert play({"a": 50, "b": 1, "c": 2}, 6) == ["a", "b", "c"] * 2
+    assert simulate({"a": 50, "b": 1, "c": 2}, 6) == ["a", "b", "c"] * 2
 
 
 def test_workspace_that_waits_alone_is_always_next():
-    assert play({"a": 3}, 3) == ["a"] * 3
+    assert simulate({"a": 3}, 3) == ["a"] * 3
 
 
 def test_other_services_and_departed_workspaces_do_not_block():
--- a/rhubarblock/exchange/placements.py
+++ b/rhubarblock/exchange/placements.py
@@ -7,7 +7,7 @@
 from rhubarblock.exchange import leases
 from rhubarblock.routing.placement import prompt as prompts
 
-# Expected time in seconds to the first byte of a plain service.
+# Expected time in seconds to the first byte of a service without engines.
 SERVICE_S = 0.1
 
 
@@ -16,7 +16,7 @@
     """Where one attempt is sent.
 
     Attributes:
-      endpoint: the endpoint that is asked.
+      endpoint: receives the request.
       helpers: engines that prefill parts of the prompt.
       helper_engines: endpoints of the helpers, in the same order.
       held_leases: memory leases to acquire before the attempt is sent.
--- a/rhubarblock/exchange/placer.py
+++ b/rhubarblock/exchange/placer.py
@@ -68,7 +68,7 @@
         Args:
           directory: known endpoints.
           job_tracker: jobs placed on each engine.
-          health: circuit breakers, told which endpoints are chosen.
+          health: circuit breakers of endpoints.
           updates: announces placements to peers.
           candidates_: endpoints to choose from.
           limits: rate limits that endpoints state.
@@ -203,7 +203,8 @@
     def predict_availability(self, flow: flows.Flow) -> float | None:
         """Returns the seconds until an endpoint may be available.
 
-        None if one without a rate limit is available.
+        None if an endpoint is available that has no rate limit, or if there is
+        no endpoint to wait for.
         """
         return self._candidates.predict_availability(
             flow.exchange, flow.history.failed_endpoints
@@ -278,12 +279,12 @@
     ) -> Iterator[None]:
         """Calls back when added prefill makes an engine pause too long.
 
-        A short prompt is prefilled again elsewhere in a fraction of such a
-        pause; a long one stays.
+        Only a short prompt moves, as it is prefilled again elsewhere in a
+        fraction of such a pause. A long one stays.
 
         Args:
-          exchange: the exchange that runs there.
-          placement: where.
+          exchange: the exchange.
+          placement: where it runs.
           has_begun: returns whether its own prefill is over.
           abandon: called when the exchange should move elsewhere.
 
--- a/rhubarblock/exchange/relay.py
+++ b/rhubarblock/exchange/relay.py
@@ -25,7 +25,8 @@
 from rhubarblock.exchange import transport as transports
 from rhubarblock.kernel import timers as timer_service
 
-# Retry-After of a refused caller, in seconds.
+# Retry-After of a refused caller in seconds; a rate limit or a cool-down may
+# lead to a longer one.
 RETRY_AFTER_S = 0.5
 # Number of times that a retry checks for an endpoint with capacity, and the
 # seconds between two checks. Short streams free their slots within this time.
@@ -185,7 +186,8 @@
         """Waits for an endpoint with capacity before a retry.
 
         A new exchange is refused at once, with a Retry-After for its caller.
-        One that has been attempted is worth a short wait, as it would be lost.
+        One that has been attempted waits for a while, as it would otherwise
+        fail.
         """
         if not flow.history.attempts:
             return
--- a/rhubarblock/exchange/relay_test.py
+++ b/rhubarblock/exchange/relay_test.py
@@ -162,20 +162,20 @@
 
 
 def test_broken_stream_resumes_after_its_last_complete_event():
-    first = fakes.events(1, 2, end=False, rest=b"id: 3\nda")
+    first = fakes.events(1, 2, end=False, partial=b"id: 3\nda")
     heads_seen = []
 
-    async def rest(head, writer):
+    async def resume(head, writer):
         heads_seen.append(head)
         await fakes.events(3, 4)(head, writer)
 
-    async def either(head, writer):
+    async def first_or_resumed(head, writer):
         if "Last-Event-Id" in head:
-            await rest(head, writer)
+            await resume(head, writer)
         else:
             await first(head, writer)
 
-    sink, failure, heads = run(either, either, route=STREAM)
+    sink, failure, heads = run(first_or_resumed, first_or_resumed, route=STREAM)
     assert failure is None
     assert sink.body == b"".join(
         b"id: %d\ndata: x\n\n" % number for number in (1, 2, 3, 4)
@@ -195,7 +195,7 @@
 
 
 def test_stream_that_ends_within_an_event_is_an_error():
-    ends_early = fakes.events(1, rest=b"id: 2\nda")
+    ends_early = fakes.events(1, partial=b"id: 2\nda")
     sink, failure, _ = run(ends_early, ends_early, route=STREAM)
     assert not sink.finished
     assert failure is not None
@@ -551,8 +551,8 @@
 
 def test_rate_limit_of_an_endpoint_is_forwarded_to_the_caller():
     sink, _, _ = run(LIMITED, route=ONCE)
-    passed = {header.name: header.value for header in sink.headers}
-    assert passed[names.LIMIT] == "0.01"
+    forwarded = {header.name: header.value for header in sink.headers}
+    assert forwarded[names.LIMIT] == "0.01"
 
 
 def test_workspace_with_one_request_is_not_starved_by_one_with_many(
--- a/rhubarblock/exchange/requesthandler.py
+++ b/rhubarblock/exchange/requesthandler.py
@@ -235,12 +235,12 @@
     async def write(self, data: bytes) -> None:
         assert self.response is not None
         if data:
-            with _caller_gone():
+            with _cancel_on_disconnect():
                 await self.response.write(data)
 
     async def finish(self) -> None:
         assert self.response is not None
-        with _caller_gone():
+        with _cancel_on_disconnect():
             await self.response.write_eof()
 
     def cut(self) -> None:
@@ -262,7 +262,7 @@
 
 
 @contextlib.contextmanager
-def _caller_gone():  # type: ignore[no-untyped-def]
+def _cancel_on_disconnect():  # type: ignore[no-untyped-def]
     """Treats a caller that disconnected as a cancelled exchange."""
     try:
         yield
--- a/rhubarblock/exchange/requesthandler_test.py
+++ b/rhubarblock/exchange/requesthandler_test.py
@@ -47,7 +47,7 @@
     return headers
 
 
-def ask(path, *scripts, table=TABLE, body=b"", **changes):
+def send_request(path, *scripts, table=TABLE, body=b"", **changes):
     """Sends one request.
 
     Returns:
@@ -70,7 +70,7 @@
 
 
 def test_answer_keeps_its_signature():
-    status, headers, content, heads = ask("/a/x", fakes.whole(b"ok"))
+    status, headers, content, heads = send_request("/a/x", fakes.whole(b"ok"))
     assert (status, content) == (200, b"ok")
     assert headers[fakes.SEAL] == "s"
     assert headers[fakes.ATTEMPT] == "q1"
@@ -79,33 +79,35 @@
 
 
 def test_unknown_path_and_key_are_refused_without_an_attempt():
-    status, _, _, heads = ask("/none/x", fakes.whole())
+    status, _, _, heads = send_request("/none/x", fakes.whole())
     assert (status, heads) == (404, [])
     changes = {names.CREDENTIAL: "wrong"}
-    status, _, _, heads = ask("/a/x", fakes.whole(), **changes)
+    status, _, _, heads = send_request("/a/x", fakes.whole(), **changes)
     assert (status, heads) == (401, [])
 
 
 def test_anonymous_route_needs_no_key():
     changes = {names.CREDENTIAL: "wrong"}
-    status, _, _, heads = ask("/open/x", fakes.whole(), **changes)
+    status, _, _, heads = send_request("/open/x", fakes.whole(), **changes)
     assert status == 200
     assert "Tenant" not in heads[0]
 
 
 def test_body_over_the_bound_is_refused():
-    status, _, _, heads = ask("/a/x", fakes.whole(), body=b"12345678901")
+    status, _, _, heads = send_request(
+        "/a/x", fakes.whole(), body=b"12345678901"
+    )
     assert (status, heads) == (413, [])
 
 
 def test_instance_without_a_configuration_answers_retry_after():
-    status, headers, _, heads = ask("/a/x", fakes.whole(), table=None)
+    status, headers, _, heads = send_request("/a/x", fakes.whole(), table=None)
     assert (status, heads) == (503, [])
     assert headers["Retry-After"] == "1"
 
 
 def test_events_are_forwarded_in_chunks_to_the_end():
-    status, _, content, _ = ask("/s/x", fakes.events(1, 2))
+    status, _, content, _ = send_request("/s/x", fakes.events(1, 2))
     assert status == 200
     assert content == b"id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
 
@@ -183,14 +185,14 @@
         async with open_instance(endpoint) as (parts, session, url):
             parts.listed.clear()
             parts.directory.remove("e1")
-            asked = asyncio.ensure_future(
+            pending = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
             while not parts.lifecycle.in_flight:
                 await asyncio.sleep(0.001)
             parts.add_endpoints(endpoint)
             parts.listed.set()
-            return (await asked).status
+            return (await pending).status
 
     assert asyncio.run(main()) == 200
 
@@ -199,12 +201,12 @@
     async def main():
         endpoint = fakes.ScriptedEndpoint(fakes.whole())
         async with open_instance(endpoint, table=None) as (parts, session, url):
-            asked = asyncio.ensure_future(
+            pending = asyncio.ensure_future(
                 session.post(url + "/a/x", headers=make_headers())
             )
             while not parts.lifecycle.in_flight:
                 await asyncio.sleep(0.001)
             parts.config_lease.install(TABLE, parts.config_lease.read_clock())
-            return (await asked).status
+            return (await pending).status
 
     assert asyncio.run(main()) == 200
--- a/rhubarblock/exchange/stalls.py
+++ b/rhubarblock/exchange/stalls.py
@@ -1,11 +1,11 @@
 """Abandons an attempt whose endpoint stalls for too long.
 
 A healthy engine sends nothing while it prefills a long prompt of another
-request. If the tracked prefills explain a stall, it is waited out if it ends
-soon. Otherwise the exchange moves to another endpoint without blame for this
-one. A short stream does not wait at all: it moves as soon as such a prompt is
-placed at its engine. An attempt is abandoned only if another endpoint can take
-it.
+request. A stall that the tracked prefills explain is waited out if it ends
+soon; if not, the exchange moves to another endpoint, and this one does not
+become suspect. A stall without such an explanation makes it suspect. A short
+stream does not wait at all: it moves as soon as a long prompt is placed at its
+engine. An attempt is abandoned only if another endpoint can take it.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 
 from rhubarblock.kernel import timers as timer_service
 
-# Longest explained stall in seconds that is waited out: a caller leaves a
-# stream after two seconds, and moving takes a tenth of a second.
+# Longest explained stall in seconds that is waited out: a caller gives up a
+# stalled stream after two seconds, and moving it takes a tenth of a second.
 MAX_EXPLAINED_STALL_S = 0.9
 # Seconds after the predicted end of a stall within which data must arrive: an
 # engine step without prefill takes 50 ms, and predictions err by some steps.
@@ -29,7 +29,9 @@
 class Reason(enum.Enum):
     """Why an attempt was abandoned."""
 
+    # No data arrived, and no prefill explains that.
     SILENT = "silent"
+    # The engine prefills other prompts for too long.
     BUSY = "busy"
 
 
@@ -63,8 +65,8 @@
           timeout: expired by the detector when the attempt is abandoned.
           predict_prefill_end: returns when the prefills end that explain a
             stall, in monotonic seconds.
-          may_abandon: takes a retry from the budget; returns False if there is
-            to be none, or nothing is gained by it.
+          may_abandon: takes a retry from the budget; returns False if no retry
+            is allowed or it would gain nothing.
           timers: the clock, and callbacks.
         """
         self._timeout = timeout
--- a/rhubarblock/exchange/stalls_test.py
+++ b/rhubarblock/exchange/stalls_test.py
@@ -60,17 +60,17 @@
 
 def test_retry_budget_is_charged_once_per_attempt():
     async def main():
-        paid = []
+        charged = []
         timers = timer_service.LoopTimers(0.0)
         detector = stalls.StallDetector(
             asyncio.timeout(None),
             lambda: 0.0,
-            lambda reason: paid.append(1) or True,
+            lambda reason: charged.append(1) or True,
             timers,
         )
         detector._timeout.reschedule = lambda when_s: None
         assert detector.abandon(stalls.Reason.BUSY)
         assert not detector.abandon(stalls.Reason.BUSY)
-        return len(paid)
+        return len(charged)
 
     assert virtualloop.run(main()) == 1
--- a/rhubarblock/exchange/state/directory.py
+++ b/rhubarblock/exchange/state/directory.py
@@ -22,11 +22,12 @@
 # its recovery.
 REREGISTER_S = 2.0
 
-# Number of removed endpoints for which it is kept whether they had left.
+# Number of removed endpoints that are remembered, as later lists may still name
+# them.
 MAX_ENDED = 4096
 # Fraction of the time in which a leaving endpoint accepts new work for which it
-# is used if its service has no other. Others may have learned earlier from the
-# list that it leaves.
+# is used if its service has no other. The remainder is a margin, as the list
+# may have shown to other instances earlier that it leaves.
 LAST_RESORT_FRACTION = 0.5
 
 # Numbers of endpoints by service and data centre.
@@ -59,7 +60,7 @@
 
     Attributes:
       born_ms: its start time in Unix milliseconds; 0 if unknown.
-      has_left: whether it took no new work.
+      has_left: whether it had stopped taking new work.
     """
 
     born_ms: int
@@ -199,7 +200,7 @@
           entry: the endpoint as it was listed when the request was sent.
 
         Returns:
-          Whether that was unknown.
+          Whether this was not known before.
         """
         name = entry.endpoint_id
         known = self._endpoints.get(name)
@@ -229,7 +230,7 @@
         return self._timers.read_monotonic() >= known.last_resort_s
 
     def remove(self, endpoint_id: str) -> None:
-        """Removes an endpoint whose entry was removed."""
+        """Removes an endpoint and remembers whether it had left."""
         self._note_change()
         removed = self._endpoints.pop(endpoint_id, None)
         if removed is not None:
--- a/rhubarblock/exchange/state/erarestores_test.py
+++ b/rhubarblock/exchange/state/erarestores_test.py
@@ -128,7 +128,7 @@
             timers,
             self.eras,
         )
-        self.eras.listen(self.client.forget)
+        self.eras.add_listener(self.client.forget)
         self.highest = 0
         self.seen = set()
         self.unused = set()
@@ -218,7 +218,7 @@
         at, objects = self.late[number % len(self.late)]
         for instance in (self.reader, self.follower):
             try:
-                instance.eras.take(at.era)
+                instance.eras.validate(at.era)
             except stores.StoreError:
                 continue
             instance.replica.apply_listing(objects, at=at)
@@ -265,7 +265,7 @@
     def _read(self):
         """Reads the store as StoreFollower does."""
         instance = self.reader
-        instance.eras.take(self.store.era)
+        instance.eras.validate(self.store.era)
         value = self.store.objects.get("config/main")
         if value is not None:
             instance.replica.apply_configuration(
--- a/rhubarblock/exchange/state/feed.py
+++ b/rhubarblock/exchange/state/feed.py
@@ -45,6 +45,7 @@
 WAIT_S = 0.7
 # Timeout of an answer in seconds beyond that wait.
 ANSWER_S = 0.5
+# Connect timeout in seconds.
 CONNECT_S = 0.25
 
 _logger = logging.getLogger(__name__)
--- a/rhubarblock/exchange/state/follower.py
+++ b/rhubarblock/exchange/state/follower.py
@@ -43,9 +43,10 @@
 # read of their own: in an outage they would make most calls, and each call is
 # charged.
 NON_READER_WAIT_S = 1.0
-# Fraction of the same time for which the watch pauses after changes of the
-# list. Every endpoint registers when all start, a rolling replacement changes
-# some entries each second, and each answer of the store is charged.
+# Fraction of the time within which a configuration must be in force for which
+# the watch pauses after changes of the list. Every endpoint registers when all
+# start, a rolling replacement changes some entries each second, and each answer
+# of the store is charged.
 CHANGES_FRACTION = 0.1
 # Longest time in seconds in which the changes of one answer are applied: a
 # further request and its answer take longer.
--- a/rhubarblock/exchange/state/follower_test.py
+++ b/rhubarblock/exchange/state/follower_test.py
@@ -202,7 +202,7 @@
     assert run(step, "10.0.0.1:1", age_s=None) == (1, True, ["a", "b"])
 
 
-def test_next_reader_is_asked_if_the_first_ones_are_down():
+def test_next_reader_is_polled_if_the_first_ones_are_down():
     async def step(instance, store, client):
         client.ages = {"10.0.0.1:1": None, "10.0.0.2:1": None}
         await asyncio.sleep(5.0)
@@ -213,7 +213,7 @@
     assert run(step, *readers) == (0, True, [*readers, readers[-1]])
 
 
-def test_at_most_three_readers_are_asked():
+def test_at_most_three_readers_are_polled():
     async def step(instance, store, client):
         await asyncio.sleep(2.0)
         return store.reads > 0, client.polled[:3]
@@ -233,7 +233,7 @@
     assert wakeups <= polled
 
 
-def test_instance_that_the_store_rejects_asks_peers():
+def test_instance_that_the_store_rejects_polls_peers():
     async def step(instance, store, client):
         store.fails = True
         await asyncio.sleep(30.0)
--- a/rhubarblock/exchange/state/subset.py
+++ b/rhubarblock/exchange/state/subset.py
@@ -98,6 +98,8 @@
             if endpoint is None or self._is_small(endpoint.service):
                 return _accepts_all
             endpoints.append(endpoint)
+        # By data centre and nearness only: all endpoints of one prompt are of
+        # the same service.
         fractions: dict[tuple[str, bool], float] = {}
 
         def uses(instance_id: str, data_centre: str) -> bool:
@@ -151,8 +153,7 @@
         """Returns the fraction of a service's endpoints that an instance uses.
 
         Args:
-          service: name of the service. All endpoints of one prompt are of the
-            same service.
+          service: name of the service.
           data_centre: data centre of the instance.
           is_near: whether to count its own data centre or all the others.
         """
--- a/rhubarblock/exchange/state/subset_test.py
+++ b/rhubarblock/exchange/state/subset_test.py
@@ -107,10 +107,12 @@
 )
 def test_list_of_used_endpoints_agrees_with_single_checks(count, centres):
     made, engines = make_subsets(count, 12, centres)
-    asked = [*(e.endpoint_id for e in engines), "unlisted"]
+    endpoint_ids = [*(e.endpoint_id for e in engines), "unlisted"]
     for number in range(10):
         for centre in ("osu", "tema", "empty"):
-            used = made.list_used(f"i{number}", centre, asked)
+            used = made.list_used(f"i{number}", centre, endpoint_ids)
             assert used == {
-                name for name in asked if made.uses(f"i{number}", centre, name)
+                name
+                for name in endpoint_ids
+                if made.uses(f"i{number}", centre, name)
             }
--- a/rhubarblock/exchange/state/tombstones.py
+++ b/rhubarblock/exchange/state/tombstones.py
@@ -100,8 +100,8 @@
         }
         for name, stored in copies.items():
             if self._held_back.get(name) != stored:
-                step = functools.partial(self._end_hold, stored)
-                self._timers.call_later(HOLD_BACK_S, step)
+                end_hold = functools.partial(self._end_hold, stored)
+                self._timers.call_later(HOLD_BACK_S, end_hold)
         self._held_back = copies
         return {n: s for n, s in listed.items() if n not in copies}
 
--- a/rhubarblock/exchange/statements.py
+++ b/rhubarblock/exchange/statements.py
@@ -1,7 +1,7 @@
 """Handles what endpoints state about themselves in response headers.
 
-Every answer passes through here, also those to lease requests, so that a
-statement has the same effect whichever request it answers.
+Every answer passes through here, also those to lease requests, so that no
+statement is overlooked because of the kind of request that it answers.
 """
 
 import logging
@@ -164,7 +164,7 @@
     def _log_unknown_fields(
         self, endpoint: lists.ListedEndpoint, unknown: tuple[str, ...]
     ) -> None:
-        """Logs fields that no code reads, so that somebody handles them."""
+        """Logs unknown header fields once each, as they may need support."""
         for name in unknown:
             if (
                 name in self._unknown
--- a/rhubarblock/exchange/statements_test.py
+++ b/rhubarblock/exchange/statements_test.py
@@ -60,7 +60,7 @@
 
 
 def test_cooldown_in_an_unsigned_refusal_is_kept():
-    """Sends a non-idempotent call, refused without a signature."""
+    """An unsigned refusal counts as a failure, but its cool-down applies."""
 
     async def main():
         extra = f"{names.RETRY_AFTER}: 600\r\n"
@@ -87,7 +87,7 @@
 class CoolingDownEngines(fakes.NoLeases):
     """Engines that state a cool-down in lease answers."""
 
-    async def reserve(self, endpoint, order):
+    async def reserve(self, endpoint, request):
         cooldown = statements.StatedCooldown(600.0)
         return dialects.LeaseReply(
             dialects.LeaseAnswer.DONE, statements.Statement(cooldown=cooldown)
--- a/rhubarblock/exchange/transport_test.py
+++ b/rhubarblock/exchange/transport_test.py
@@ -235,10 +235,10 @@
 
     Neither answers, so only TCP keep-alive probes can tell them apart.
     """
-    asked = asyncio.Event()
+    arrived = asyncio.Event()
 
     async def keep_silent(head, writer):
-        asked.set()
+        arrived.set()
         await asyncio.sleep(60.0)
 
     async def send(parts, endpoint):
@@ -250,7 +250,7 @@
         endpoint = fakes.ScriptedEndpoint(keep_silent)
         async with fakes.open_parts(endpoint) as parts:
             sending = asyncio.create_task(send(parts, endpoint))
-            await asked.wait()
+            await arrived.wait()
             socket_options = find_options(parts.sessions, options)
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
