--- a/rhubarblock/routing/cooldowns.py
+++ b/rhubarblock/routing/cooldowns.py
@@ -1,4 +1,4 @@
-"""The cool-downs that endpoints asked this instance for, and the probe after.
+"""The cool-downs that endpoints requested, and the probe after each of them.
 
 An endpoint that refuses a request may name a time for which it wants no
 requests from this instance (Retry-After). It then gets none, even if no other
@@ -97,7 +97,7 @@
         return max(0.0, cooldown.until_s - now_s) if cooldown else 0.0
 
     def forget(self, endpoint_id: str) -> None:
-        """Forgets the cool-down of an earlier start of an endpoint."""
+        """Forgets the cool-down of an endpoint that restarted."""
         self._cooldowns.pop(endpoint_id, None)
 
     def expire(self, now_s: float) -> None:
--- a/rhubarblock/routing/endpointlimits/coordinator_test.py
+++ b/rhubarblock/routing/endpointlimits/coordinator_test.py
@@ -78,7 +78,7 @@
     assert len(set(again)) == len(again) >= 2
 
 
-def test_endpoint_with_a_limit_of_zero_is_still_tried():
+def test_endpoint_with_a_limit_of_zero_is_still_probed():
     _, coordinator = make_coordinator(0.0)
     peers = [f"p{n}" for n in range(USERS)]
     assert 0.08 <= count_granted(coordinator, peers, 0.0, 60.0) <= 0.12
--- a/rhubarblock/routing/endpointlimits/holding.py
+++ b/rhubarblock/routing/endpointlimits/holding.py
@@ -4,8 +4,9 @@
 
 from rhubarblock.routing.endpointlimits import messages
 
-# Seconds for which a permit stays valid. Permits that stay unused for longer
-# would add to those that are granted meanwhile and exceed the limit.
+# Seconds for which a permit stays valid once it may be used. Permits that stay
+# unused for longer would add to those that are granted meanwhile and exceed the
+# limit.
 PERMIT_TTL_S = 0.5
 
 
--- a/rhubarblock/routing/endpointlimits/peers.py
+++ b/rhubarblock/routing/endpointlimits/peers.py
@@ -19,7 +19,7 @@
     def choose_coordinator(self, endpoint_id: str, silent: set[str]) -> str:
         """Returns the peer that grants an endpoint's permits, or ``SELF``.
 
-        Instances that see the same peers choose the same one.
+        Instances that know the same peers choose the same one.
 
         Args:
           endpoint_id: the endpoint.
--- a/rhubarblock/routing/fairqueue.py
+++ b/rhubarblock/routing/fairqueue.py
@@ -142,7 +142,7 @@
           latest_start_s: latest monotonic time at which it can start.
 
         Yields:
-          The permit, to be released at the first token.
+          The permit; the caller releases it at the first token.
 
         Raises:
           failures.FailureError: the queue is full, or the latest start has
--- a/rhubarblock/routing/health.py
+++ b/rhubarblock/routing/health.py
@@ -11,8 +11,9 @@
 import dataclasses
 
 # Initial and largest backoff of an endpoint, in seconds. A restart takes some
-# seconds; the initial backoff is shorter than callers' patience, as a single
-# failure may be due to the network path and not to the endpoint.
+# seconds; the initial backoff is shorter than the time after which a caller
+# gives up, as a single failure may be due to the network path and not to the
+# endpoint.
 INITIAL_BACKOFF_S = 0.7
 MAX_BACKOFF_S = 4.0
 # Seconds for which one request probes an endpoint before another one may.
@@ -48,9 +49,9 @@
 
 
 class Health:
-    """The health of each endpoint as seen by requests."""
+    """The health of each endpoint, derived from the results of requests."""
 
-    __slots__ = ("_own", "_paths", "_states")
+    __slots__ = ("_own_data_centre", "_paths", "_states")
 
     def __init__(self, own_data_centre: str = ""):
         """Starts with all endpoints healthy.
@@ -58,7 +59,7 @@
         Args:
           own_data_centre: the network path within it never counts as broken.
         """
-        self._own = own_data_centre
+        self._own_data_centre = own_data_centre
         self._states: dict[str, _State] = {}
         self._paths: dict[str, _NetworkPath] = {}
 
@@ -68,8 +69,8 @@
         """Records a failed connection or a missing answer.
 
         Returns:
-          Whether this tripped the circuit breaker again, so that peers should
-          be told.
+          Whether this failure tripped the circuit breaker, so that peers should
+          be notified; False while the endpoint is avoided already.
         """
         self._detect_partition(endpoint_id, data_centre, now_s)
         state = self._states.setdefault(endpoint_id, _State())
@@ -137,7 +138,7 @@
         return state.error_rate if state else 0.0
 
     def forget(self, endpoint_id: str) -> None:
-        """Forgets the results of an earlier start of an endpoint."""
+        """Forgets the earlier results of an endpoint that restarted."""
         self._states.pop(endpoint_id, None)
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
@@ -148,7 +149,7 @@
     def _detect_partition(
         self, endpoint_id: str, data_centre: str, now_s: float
     ) -> None:
-        if data_centre == self._own:
+        if data_centre == self._own_data_centre:
             return
         path = self._paths.setdefault(data_centre, _NetworkPath())
         path.unreachable[endpoint_id] = now_s
--- a/rhubarblock/routing/lanes.py
+++ b/rhubarblock/routing/lanes.py
@@ -39,7 +39,7 @@
         """
         self._policy = policy
         if not policy.uses_lengths:
-            window = _open_window
+            window = _get_unlimited_window
         self._short = fairqueue.FairQueue(settings, weigh, window)
         self._long = fairqueue.FairQueue(settings, weigh, window)
 
@@ -67,5 +67,5 @@
         return self._long
 
 
-def _open_window() -> float:
+def _get_unlimited_window() -> float:
     return math.inf
--- a/rhubarblock/routing/ledger.py
+++ b/rhubarblock/routing/ledger.py
@@ -15,7 +15,8 @@
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.routing.placement import policy as policies
 
-# Seconds after its deadline at which a grant that was not released is dropped.
+# Seconds after its deadline at which a grant is dropped if its holder has not
+# released it, for instance because the holder no longer answers.
 GRACE_S = 2.0
 
 
@@ -25,7 +26,7 @@
 def reserve_nothing(
     service: str, endpoint_ids: Iterable[str]
 ) -> frozenset[str]:
-    """Says that no engine is reserved for suspect requests."""
+    """Returns no engine, so that none is reserved for suspect requests."""
     del service, endpoint_ids
     return frozenset()
 
@@ -86,8 +87,9 @@
     def _avoid_reserved(
         self, query: placements.PlacementQuery
     ) -> placements.PlacementQuery:
-        # Suspects run on engines that prefill, whose memory is freed sooner
-        # than that of engines that decode.
+        # Suspect requests (see ``routing.quarantine``) run on engines that
+        # prefill, whose memory is freed sooner than that of engines that
+        # decode.
         names = (
             load.endpoint.endpoint_id
             for load in self.table.list_loads(query.service, query.model)
--- a/rhubarblock/routing/lending/lender.py
+++ b/rhubarblock/routing/lending/lender.py
@@ -30,7 +30,7 @@
 
 LEND_KIND = "limits.lend"
 
-# Bits of a sequence number that count the calls since one start.
+# Bits of a sequence number that count the calls since the instance started.
 _SEQUENCE_BITS = 22
 
 
@@ -152,7 +152,7 @@
         # The incarnation follows the wall clock, so sequence numbers increase
         # across starts.
         self._sequence = incarnation << _SEQUENCE_BITS
-        self._fresh_until_s = -math.inf
+        self._self_lease_until_s = -math.inf
         self._join_s = math.inf
         self._joined = False
         self.counters = LendingCounters()
@@ -170,13 +170,13 @@
     def read_share(
         self, key: str, limits: catalogues.Limits, at_s: float
     ) -> limitshare.Share:
-        if at_s >= self._fresh_until_s:
+        if at_s >= self._self_lease_until_s:
             return limitshare.NO_SHARE
         share = self._find_entry(key).read_share(at_s)
-        if share.until_s <= self._fresh_until_s:
+        if share.until_s <= self._self_lease_until_s:
             return share
         return limitshare.Share(
-            share.units, share.long_slots, self._fresh_until_s
+            share.units, share.long_slots, self._self_lease_until_s
         )
 
     def ask_for_more(self, key: str) -> None:
@@ -224,7 +224,7 @@
     async def _run_round(self) -> None:
         now_s = self._timers.read_monotonic()
         self._check_pause(now_s)
-        self._fresh_until_s = now_s + self._settings.self_lease_s
+        self._self_lease_until_s = now_s + self._settings.self_lease_s
         limits = limiters.list_limited_entries(self._catalogue())
         self._settle_entries(limits, now_s)
         for link in self._links.values():
@@ -239,7 +239,7 @@
 
     def _check_pause(self, now_s: float) -> None:
         """Joins anew after a pause, as others may have divided its share."""
-        if self._joined and now_s >= self._fresh_until_s:
+        if self._joined and now_s >= self._self_lease_until_s:
             self.counters.pauses += 1
             self._joined = False
             self._join_s = now_s + self._settings.join_s
--- a/rhubarblock/routing/lending/lender_test.py
+++ b/rhubarblock/routing/lending/lender_test.py
@@ -72,7 +72,7 @@
             DirectTransport(self.network, name),
             name,
             incarnation,
-            lambda duty: lending.Coordinator(
+            lambda shard: lending.Coordinator(
                 self.coordinator, self.coordinator
             ),
             lambda: self.holders,
@@ -95,7 +95,7 @@
         return sum(share.units for share in self.read_shares().values())
 
     async def load(self, name, seconds, check=None):
-        """Sends twenty requests a second to one instance."""
+        """Sends 20 requests a second to an instance; checks the share sum."""
         for _ in range(int(seconds * 20)):
             self.nodes[name][0].admit(
                 "adwoa", "adwoa/desk", requests.RequestClass.BATCH, 1, False
--- a/rhubarblock/routing/lending/pool.py
+++ b/rhubarblock/routing/lending/pool.py
@@ -187,7 +187,7 @@
         return self._targets[sender]
 
     def _compute_targets(self, now_s: float) -> None:
-        reported_s = now_s - self._settings.lease_s
+        oldest_s = now_s - self._settings.lease_s
         self._targets = lendingtargets.compute_targets(
             [
                 lendingtargets.Participant(
@@ -197,7 +197,7 @@
                     participant.demand,
                 )
                 for instance_id, participant in self._participants.items()
-                if participant.reported_s >= reported_s
+                if participant.reported_s >= oldest_s
             ]
         )
         self._targets_s = now_s
--- a/rhubarblock/routing/lending/pool_test.py
+++ b/rhubarblock/routing/lending/pool_test.py
@@ -48,7 +48,7 @@
     assert exchange(pool, "b", 4.0, own=500_000, demand=900_000) == (0, 0, 0)
 
 
-def test_a_loan_ends_when_its_borrower_reports_it():
+def test_a_pledge_is_released_once_the_borrower_reports_no_loan():
     pool = make_pool()
     lend_from_a_to_b(pool)
     wanted = {"own": 500_000, "pledged": 400_000, "demand": 500_000}
@@ -60,7 +60,7 @@
     assert exchange(pool, "a", 2.8, **wanted) == (400_000, 0, 0)
 
 
-def test_a_loan_ends_when_it_expires():
+def test_a_pledge_is_released_once_the_loan_has_expired():
     pool = make_pool()
     lend_from_a_to_b(pool)
     wanted = {"own": 500_000, "pledged": 400_000, "demand": 500_000}
--- a/rhubarblock/routing/lending/targets.py
+++ b/rhubarblock/routing/lending/targets.py
@@ -36,23 +36,23 @@
     Returns:
       Amounts by instance; their sum equals the sum of the static shares.
     """
-    if all(s.demand <= s.own for s in participants):
-        return {s.instance_id: s.own for s in participants}
-    needs = {s.instance_id: max(0, s.demand - s.own) for s in participants}
+    if all(p.demand <= p.own for p in participants):
+        return {p.instance_id: p.own for p in participants}
+    needs = {p.instance_id: max(0, p.demand - p.own) for p in participants}
     spares = {
-        s.instance_id: max(0, s.own - max(s.demand, int(s.own * RESERVE_PART)))
-        for s in participants
+        p.instance_id: max(0, p.own - max(p.demand, int(p.own * RESERVE_PART)))
+        for p in participants
     }
     lent = min(sum(needs.values()), sum(spares.values()))
     given = fill_evenly(needs, lent)
     # Current lenders go first, so that lenders seldom change.
-    order = sorted(participants, key=lambda s: (-s.pledged, s.instance_id))
+    order = sorted(participants, key=lambda p: (-p.pledged, p.instance_id))
     taken = split_proportionally(
-        {s.instance_id: spares[s.instance_id] for s in order}, lent
+        {p.instance_id: spares[p.instance_id] for p in order}, lent
     )
     return {
-        s.instance_id: s.own + given[s.instance_id] - taken[s.instance_id]
-        for s in participants
+        p.instance_id: p.own + given[p.instance_id] - taken[p.instance_id]
+        for p in participants
     }
 
 
--- a/rhubarblock/routing/limitbucket.py
+++ b/rhubarblock/routing/limitbucket.py
@@ -18,15 +18,15 @@
 class Bucket:
     """A token bucket; amounts in units of the limit, times in seconds."""
 
-    __slots__ = ("_at_s", "_debt", "_depth", "_level", "_rate")
+    __slots__ = ("_depth", "_level", "_long_debt", "_rate", "_settled_s")
 
     def __init__(self, now_s: float):
         """Creates a bucket that fills only once it has a rate."""
-        self._at_s = now_s
+        self._settled_s = now_s
         self._rate = 0.0
         self._depth = 0.0
         self._level = 0.0
-        self._debt = 0.0
+        self._long_debt = 0.0
 
     @property
     def rate(self) -> float:
@@ -36,7 +36,7 @@
     @property
     def unpaid(self) -> float:
         """Units admitted but not paid yet, by short and long prompts."""
-        return self._debt - min(self._level, 0.0)
+        return self._long_debt - min(self._level, 0.0)
 
     def set_rate(self, rate: float) -> None:
         """Sets the rate from the last settled time on."""
@@ -46,17 +46,19 @@
 
     def settle(self, now_s: float) -> None:
         """Adds what the rate yields up to a time, and pays debts with it."""
-        gain = (now_s - self._at_s) * self._rate
-        self._at_s = now_s
-        if self._debt:
-            paid = min(self._debt, gain * LONG_PART)
-            self._debt -= paid
+        gain = (now_s - self._settled_s) * self._rate
+        self._settled_s = now_s
+        if self._long_debt:
+            paid = min(self._long_debt, gain * LONG_PART)
+            self._long_debt -= paid
             gain -= paid
         level = self._level + gain
         if level > self._depth:
-            if self._debt:
+            if self._long_debt:
                 # The overflow of the bucket pays for long prompts, too.
-                self._debt = max(0.0, self._debt - (level - self._depth))
+                self._long_debt = max(
+                    0.0, self._long_debt - (level - self._depth)
+                )
             level = self._depth
         self._level = level
 
@@ -73,22 +75,22 @@
         if not self._rate:
             return math.inf
         if long:
-            return self._debt / (self._rate * LONG_PART)
+            return self._long_debt / (self._rate * LONG_PART)
         if self._level >= 0:
             return 0.0
-        part = 1.0 - LONG_PART if self._debt else 1.0
+        part = 1.0 - LONG_PART if self._long_debt else 1.0
         return -self._level / (self._rate * part)
 
     def charge(self, cost: float, long: bool) -> None:
         """Deducts the cost of an admitted request."""
         if long:
-            self._debt += cost
+            self._long_debt += cost
         else:
             self._level -= cost
 
     def refund(self, cost: float, long: bool) -> None:
         """Returns an unused part of an earlier charge."""
         if long:
-            self._debt = max(0.0, self._debt - cost)
+            self._long_debt = max(0.0, self._long_debt - cost)
         else:
             self._level = min(self._level + cost, self._depth)
--- a/rhubarblock/routing/limitdemand.py
+++ b/rhubarblock/routing/limitdemand.py
@@ -12,8 +12,9 @@
 # Part of a window's demand that carries over into the next one: between two
 # bursts the share of an instance shrinks over two seconds and not at once.
 _DECAY = 0.3
-# A pause means that requests have stopped if it lasts at least this time in
-# seconds, and as long as so many requests took before.
+# Requests count as stopped after a pause of at least _SILENT_S seconds in which
+# more than _SILENT_REQUESTS of them were expected at the rate of the last
+# window.
 _SILENT_REQUESTS = 5.0
 _SILENT_S = 0.3
 # Ratio of the requested to the measured demand, as arrivals are uneven.
@@ -63,7 +64,7 @@
         long_held: int,
         now_s: float,
     ) -> limitshare.Demand:
-        """Returns the current demand, and starts a new window if one is over.
+        """Returns the current demand; starts a new window if one is over.
 
         Args:
           limits: limits of the entry.
@@ -82,8 +83,8 @@
         missed = max(self._missed, self._missed_before)
         if now_s - self._since_s >= WINDOW_S:
             self._start_window(part, now_s)
-        owed = _divide(unpaid_tokens, limits.tokens_per_s * _PAY_S)
-        wanted = max(part, owed)
+        debt = _divide(unpaid_tokens, limits.tokens_per_s * _PAY_S)
+        wanted = max(part, debt)
         return limitshare.Demand(
             units=min(
                 int(wanted * limitshare.SHARE_UNITS), limitshare.SHARE_UNITS
--- a/rhubarblock/routing/limits.py
+++ b/rhubarblock/routing/limits.py
@@ -128,12 +128,14 @@
         """
         now_s = self._timers.read_monotonic()
         catalogue = self._catalogue()
-        known = catalogue.institutions.get(institution)
-        part = catalogue.workspaces.get(workspace)
-        if known is None or part is None:
+        institution_entry = catalogue.institutions.get(institution)
+        workspace_entry = catalogue.workspaces.get(workspace)
+        if institution_entry is None or workspace_entry is None:
             return result.Failure(_refuse_unknown(workspace))
         entries = self._find_entries(
-            (institution, known.limits), (workspace, part.limits), now_s
+            (institution, institution_entry.limits),
+            (workspace, workspace_entry.limits),
+            now_s,
         )
         wait_s = 0.0
         for entry in entries:
--- a/rhubarblock/routing/limitshare.py
+++ b/rhubarblock/routing/limitshare.py
@@ -91,7 +91,7 @@
 
     @abc.abstractmethod
     def ask_for_more(self, key: str) -> None:
-        """Called when the share of an entry was just insufficient."""
+        """Called when the share of an entry was too small for a request."""
 
 
 class FixedShares(Shares):
--- a/rhubarblock/routing/placement/coordination.py
+++ b/rhubarblock/routing/placement/coordination.py
@@ -3,8 +3,8 @@
 The coordinator of a pool is one instance, chosen by rendezvous hashing over the
 live ones. It knows every grant that it gave, so two instances do not choose the
 same idle engine at once. Two concurrent coordinators only make placements
-worse. If the coordinator is unreachable, the instance decides from its own load
-table.
+worse. If the coordinator does not answer in time, the instance decides from its
+own load table.
 """
 
 from collections.abc import Callable
@@ -90,8 +90,8 @@
     ) -> bool:
         """Says whether an engine could hold a prompt and its answer now.
 
-        Also true for a prompt that can never fit into this engine: it is split,
-        so it may run anywhere.
+        Also true if the engine is unknown or can never hold the prompt:
+        ``place`` then ignores this engine as ``only_endpoint``.
         """
         if not self._fits(query, endpoint_id):
             return True
@@ -160,7 +160,8 @@
                     PLACE_TIMEOUT_S,
                 )
             except peertransport.PeerError:
-                # The coordinator drops what is lost when its time is over.
+                # The coordinator drops grants whose end it did not receive
+                # when they expire.
                 self._metrics.count("placement.progress_lost")
         self._ledger.collect_expired()
 
--- a/rhubarblock/routing/placement/decision.py
+++ b/rhubarblock/routing/placement/decision.py
@@ -18,7 +18,8 @@
       max_tokens: largest number of tokens still to generate.
       slack_s: seconds until the deadline.
       prefix_blocks: chained digests of the first blocks of the prompt.
-      avoid: endpoints that failed an earlier attempt of this request.
+      avoid: endpoints that failed an earlier attempt of this request, or that
+        are reserved for suspect requests.
     """
 
     request_id: str
--- a/rhubarblock/routing/placement/engineview.py
+++ b/rhubarblock/routing/placement/engineview.py
@@ -13,9 +13,9 @@
 from rhubarblock.routing.placement import jobtracker
 from rhubarblock.routing.placement import latencycost
 
-# Seconds until an engine that only prefills turns to a new part: half of the
-# time for the chunk of a long prompt that it processes at once.
-TURN_S = 0.03
+# Seconds until an engine that only prefills starts a new part: half of the time
+# for the chunk of a long prompt that it processes at once.
+PREEMPTION_S = 0.03
 # Parts placed within these seconds at an engine that decodes are prefilled in
 # one pass: about the length of a pass without any prefill.
 SAME_PASS_S = 0.05
@@ -52,21 +52,21 @@
 
         Args:
           placed: the job.
-          finish_s: seconds until its prefill would be done then.
+          finish_s: seconds until its prefill would be done in that case.
         """
         job = placed.job
         before_s = self.predict_finish(placed)
         if finish_s <= before_s or not job.objective_s:
             return 0.0
         since_s = self.now_s - placed.placed_s
-        shares = [
+        losses = [
             latencycost.compute_delay_loss(
                 since_s + s, job.objective_s, job.pause_s
             )
             for s in (before_s, finish_s)
         ]
         return latencycost.compute_value(job.prompt_tokens) * (
-            shares[1] - shares[0]
+            losses[1] - losses[0]
         )
 
 
@@ -111,7 +111,7 @@
                 + self.decode_pass_s
                 + prefill_s
             )
-        return prefill_s + (TURN_S if self.wait_s else 0.0)
+        return prefill_s + (PREEMPTION_S if self.wait_s else 0.0)
 
     def predict_pause(self, prefill_s: float, finish_s: float) -> float:
         """Returns the first pause of an answer that would be decoded here.
@@ -142,9 +142,9 @@
                 before_s = self.decode_pass_s
                 after_s = before_s + max(0.0, prefill_s - finish_s)
             pause_s = placed.job.pause_s
-            share = latencycost.compute_pause_loss(after_s, pause_s)
-            share -= latencycost.compute_pause_loss(before_s, pause_s)
-            cost += share * latencycost.compute_value(placed.job.prompt_tokens)
+            loss = latencycost.compute_pause_loss(after_s, pause_s)
+            loss -= latencycost.compute_pause_loss(before_s, pause_s)
+            cost += loss * latencycost.compute_value(placed.job.prompt_tokens)
         return cost
 
     def list_delayed(
--- a/rhubarblock/routing/placement/jobtracker.py
+++ b/rhubarblock/routing/placement/jobtracker.py
@@ -15,8 +15,8 @@
 
 from rhubarblock.core import route as routes
 
-# Seconds after which a job is dropped although its end was never announced:
-# twice the longest time that callers wait in known deployments.
+# Seconds after which a job is dropped if its end was not announced: twice the
+# longest time that callers wait in known deployments.
 JOB_TTL_S = 30.0
 
 
@@ -315,7 +315,7 @@
         """Removes all jobs of a source that is gone, such as an instance.
 
         Args:
-          source: prefix of its job ids, up to the last dot.
+          source: the part of its job ids before the last dot.
         """
         for job_id in [j for j in self._jobs if j.rpartition(".")[0] == source]:
             self.remove(job_id)
@@ -339,7 +339,7 @@
         del self._loads[endpoint_id]
 
     def expire(self, now_s: float) -> None:
-        """Removes the jobs that exceeded ``JOB_TTL_S``."""
+        """Removes the jobs that are older than ``JOB_TTL_S``."""
         for job_id in [
             j for j, end_s in self._expiries.items() if end_s <= now_s
         ]:
--- a/rhubarblock/routing/placement/latencycost.py
+++ b/rhubarblock/routing/placement/latencycost.py
@@ -17,7 +17,8 @@
 # Cost of the delay of a late answer, for each objective of delay.
 OVERDUE_COST = 0.01
 # A caller gives up after the longest of these: seconds, objectives and pauses,
-# as documented by the platform. The part leaves a margin for prediction errors.
+# as documented by the platform. PATIENCE_PART leaves a margin for prediction
+# errors.
 PATIENCE_S = 2.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
--- a/rhubarblock/routing/placement/latencycost_test.py
+++ b/rhubarblock/routing/placement/latencycost_test.py
@@ -38,8 +38,8 @@
     ],
 )
 def test_pause_loss(predicted_s, pause_s, cost):
-    weighed = latencycost.compute_pause_loss(predicted_s, pause_s)
-    assert weighed == pytest.approx(cost)
+    loss = latencycost.compute_pause_loss(predicted_s, pause_s)
+    assert loss == pytest.approx(cost)
 
 
 def test_value_grows_with_the_prompt_length():
--- a/rhubarblock/routing/placement/loadtable.py
+++ b/rhubarblock/routing/placement/loadtable.py
@@ -1,9 +1,10 @@
 """What one instance estimates about the load of each engine.
 
 Load reports arrive late, so each is corrected by what this instance placed in
-the meantime: a grant counts from when it is given until it is released, and the
-load in a report beyond the own grants is assumed to shrink at the engine's
-prefill rate. All of this is soft state; a wrong estimate only costs time.
+the meantime: a grant counts from when it is given until it is released. The
+load in a report beyond this instance's grants is assumed to shrink at the
+engine's prefill rate. All of this is soft state; a wrong estimate only costs
+time.
 """
 
 import dataclasses
--- a/rhubarblock/routing/placement/partplan.py
+++ b/rhubarblock/routing/placement/partplan.py
@@ -147,8 +147,8 @@
         """Returns the best plan of a prompt that one engine prefills.
 
         Tries the engines in their order of preference at equal cost and stops
-        at the first one without cost and wait, as no other engine could be
-        better. Most of the time that is the very first.
+        at the first one whose cost and wait are below one step, as no other
+        engine could rank higher. Most of the time that is the very first.
         """
         best: Plan | None = None
         least: tuple[int, int] | None = None
--- a/rhubarblock/routing/placement/splitpolicy_test.py
+++ b/rhubarblock/routing/placement/splitpolicy_test.py
@@ -34,7 +34,7 @@
 
 
 def make_tracker(**counts):
-    """Returns a tracker whose engines decode so many short prompts."""
+    """Returns a tracker of engines that decode ``counts`` short prompts."""
     tracker = jobtracker.JobTracker()
     for name, count in counts.items():
         for number in range(count):
@@ -58,7 +58,7 @@
     assert names(choose(tracker, DRAFT, make_engines(8))) == ["e03"]
 
 
-def make_far(engines, *numbers):
+def make_remote(engines, *numbers):
     return [
         dataclasses.replace(engine, data_centre="tema")
         if n in numbers
@@ -68,13 +68,13 @@
 
 
 def test_short_prompt_stays_in_its_data_centre():
-    engines = make_far(make_engines(4), 0, 1)
+    engines = make_remote(make_engines(4), 0, 1)
     tracker = make_tracker(e00=3, e03=1)
     assert names(choose(tracker, DRAFT, engines)) == ["e03"]
 
 
 def test_short_prompt_goes_to_a_remote_engine_when_local_ones_are_full():
-    engines = make_far(make_engines(3), 0)
+    engines = make_remote(make_engines(3), 0)
     tracker = make_tracker(e00=3, e01=8, e02=8)
     assert names(choose(tracker, DRAFT, engines)) == ["e00"]
 
@@ -256,7 +256,7 @@
 
 
 def add_helped_jobs(tracker, name, count):
-    """Lets an engine prefill parts for so many jobs of other engines."""
+    """Adds ``count`` jobs of other engines that an engine prefills parts of."""
     for number in range(count):
         parts = (
             jobtracker.Part(f"w{number}", 1.0, 5_000),
--- a/rhubarblock/routing/quarantine/gate.py
+++ b/rhubarblock/routing/quarantine/gate.py
@@ -2,7 +2,7 @@
 
 Request digests that were in flight when an endpoint died are suspect. A suspect
 runs in one copy at a time, on an endpoint that is reserved for suspects and
-probes one after the other. So a second crash has a single cause, and that
+probes them one after the other. So a second crash has a single cause, and that
 digest is quarantined for a limited time. A crash is broadcast to all peers
 before any request that it aborted is retried. docs/design/quarantine.md
 discusses the alternatives.
@@ -39,7 +39,8 @@
 SHARE_KIND = "quarantine.share"
 PERMIT_KIND = "quarantine.permit"
 
-# One in so many endpoints is reserved for suspects while there are any.
+# One of this many endpoints, but at least one, is reserved for suspects while
+# there are any.
 RESERVED_ONE_IN = 6
 
 _MS_PER_S = 1000
@@ -66,7 +67,8 @@
       poll_s: time between two permit requests.
       reserve_s: time for which endpoints stay reserved after the last permit
         request.
-      retry_after_s: when a caller is told to retry while a copy runs.
+      retry_after_s: time after which a caller that is refused while a copy
+        runs should retry.
       trusted_successes: successes of a digest after which a single crash does
         not make it suspect.
       start_s: time that a suspect may take to its first token before another
@@ -175,7 +177,7 @@
     async def record_crash(
         self, endpoint_id: str, in_flight: Mapping[str, float] | None = None
     ) -> None:
-        """Records that an endpoint died and tells the peers.
+        """Records that an endpoint died and notifies the peers.
 
         Returns once every reachable peer knows, so that no aborted request is
         retried elsewhere before that.
@@ -257,7 +259,7 @@
           wait_s: longest wait for other copies and suspects, in seconds.
           hold_s: longest time that the request then runs, in seconds.
           has_room: says whether an endpoint would run it without a wait; a
-            suspect that waits there would pass its probe without having run.
+            suspect that waits there occupies the endpoint without being probed.
 
         Returns:
           None if it may run anywhere; a permit, to be passed to ``release`` at
--- a/rhubarblock/routing/quarantine/gate_test.py
+++ b/rhubarblock/routing/quarantine/gate_test.py
@@ -34,7 +34,7 @@
             peer.instance_id,
             self.network.join(peer.address, peer.instance_id),
             lambda: [other for other in PEERS if other != peer],
-            lambda duty: PEERS[0],
+            lambda key: PEERS[0],
             random.Random(3),
         )
 
@@ -164,7 +164,7 @@
 
 
 def test_waiting_time_does_not_count_as_probe_time():
-    """A suspect that waited for memory when its endpoint died is the cause.
+    """A suspect that only waited must not pass its probe and evade the blame.
 
     See ``measure faults --kind poison_request --seed 1``.
     """
--- a/rhubarblock/routing/quarantine/inflight.py
+++ b/rhubarblock/routing/quarantine/inflight.py
@@ -95,8 +95,8 @@
     ) -> dict[str, float]:
         """Returns the possible causes of the crash of an endpoint.
 
-        A suspect that has run for longer than before its first crash is ruled
-        out as the cause.
+        A suspect that has run for longer than its probe (see ``find_probe``) is
+        ruled out as the cause.
 
         Args:
           endpoint_id: the endpoint.
@@ -121,7 +121,7 @@
         return ages
 
     def find_start_delay(self, digest: str) -> float:
-        """Returns the seconds that a suspect waits for likelier causes."""
+        """Returns the seconds by which a suspect delays its start."""
         age_s = self._ages.get(digest, 0.0)
         return min(age_s, quarantineregistry.YOUNG_S) * _START_DELAY_PART
 
@@ -154,7 +154,7 @@
         _drop_oldest(self._successes)
 
     def consume_successes(self, digest: str, successes: int) -> bool:
-        """Says whether a digest has that many successes, and resets them."""
+        """Says whether a digest has enough successes, and resets its count."""
         return self._successes.pop(digest, 0) >= successes
 
     def _read(self, endpoint_id: str) -> dict[str, float]:
--- a/rhubarblock/routing/quarantine/registry.py
+++ b/rhubarblock/routing/quarantine/registry.py
@@ -1,10 +1,12 @@
 """The crashes that one instance knows, and the request digests they implicate.
 
-The registry is a set of facts that only grows until they expire: crashes with
-the digests that were in flight, digests that ran to completion, digests in
-quarantine. Instances that receive crashes in a different order may decide
-differently for a moment; once they have exchanged their facts they decide the
-same. Times are wall clock, as they are compared between instances.
+The registry is a set of facts that are only added, and that expire after a
+time: crashes with the digests that were in flight, digests that ran to
+completion, digests in quarantine. Instances that receive crashes in a different
+order may decide differently for a moment; once they have exchanged their facts
+they decide the same. Times are in seconds of the caller's clock. If instances
+exchange their facts it must be the wall clock, as times are compared between
+them.
 """
 
 from collections.abc import Callable
@@ -33,11 +35,11 @@
 SUSPECT_S = 300.0
 # Seconds for which a digest stays in quarantine.
 QUARANTINE_S = 3600.0
-# Crashes of one endpoint that are seen within these seconds are the same crash:
-# instances notice it at different times.
+# Crashes of one endpoint that are noticed within these seconds are the same
+# crash: instances notice it at different times.
 SAME_CRASH_S = 2.0
-# If so many endpoints end within this time, in seconds, the cause is not a
-# single request.
+# If at least MASS_ENDPOINTS endpoints crash within MASS_S seconds, the cause is
+# not a single request.
 MASS_ENDPOINTS = 3
 MASS_S = 2.0
 # Bounds of the registry; the oldest facts are dropped first.
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """The end of one start of an endpoint.
+    """The crash of an endpoint process.
 
     Attributes:
       endpoint_id: the endpoint.
@@ -121,7 +123,7 @@
     """Facts that registries exchange.
 
     Attributes:
-      crashes: ends of endpoints.
+      crashes: crashes of endpoints.
       cleared: digests that ran to completion or were cleared by an operator,
         and when.
       quarantined: digests in quarantine.
@@ -199,13 +201,13 @@
     def add_crash(
         self, endpoint_id: str, ages: Mapping[str, float], now_s: float
     ) -> Facts:
-        """Records the end of an endpoint.
+        """Records the crash of an endpoint.
 
         Args:
           endpoint_id: the endpoint.
           ages: digests that this instance had in flight there, and their ages
             in seconds.
-          now_s: wall clock.
+          now_s: current time on the caller's clock.
 
         Returns:
           The facts to announce to the peers.
@@ -245,7 +247,7 @@
 
         Args:
           facts: from this instance or another one.
-          now_s: wall clock.
+          now_s: current time on the caller's clock.
 
         Returns:
           The facts that were new here, and the quarantines that followed from
--- a/rhubarblock/routing/quarantine/storesync.py
+++ b/rhubarblock/routing/quarantine/storesync.py
@@ -1,8 +1,8 @@
 """Persists the quarantines in the platform's store, in one bounded object.
 
 A starting instance reads them; a conditional update then adds those that are
-known here. If the answer to a write is lost, the next synchronisation repairs
-it.
+known here. If the answer to a write is lost, the next synchronisation reads the
+result and writes again if needed.
 """
 
 import dataclasses
