--- a/rhubarblock/fleet/distribution.py
+++ b/rhubarblock/fleet/distribution.py
@@ -1,4 +1,4 @@
-"""Distributes the catalogue to every instance with a monotonic revision.
+"""Distributes the catalogue to all instances; revisions never decrease.
 
 In each data centre a few watchers watch the platform. A new revision is
 announced to the other instances along a broadcast tree. An instance that
@@ -39,7 +39,7 @@
 
 # Fan-out of the broadcast tree.
 _FAN_OUT = 4
-# Most peers whose revision is queried at a time.
+# Maximum number of peers whose revision is queried at a time.
 _MAX_CONCURRENT_QUERIES = 32
 
 Listener = Callable[[catalogues.Catalogue], None]
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DistributionSettings:
-    """Times in seconds, and counts.
+    """Settings of the follower; times are in seconds.
 
     Attributes:
-      watchers: instances of a data centre that watch the platform.
+      watchers: number of instances of a data centre that watch the platform.
       role_interval_s: time between two checks of whether this instance is a
         watcher.
       watcher_poll_s: time between two reads by a watcher, which cover lost
@@ -61,7 +61,7 @@
       call_timeout_s: timeout of a call to a peer.
       pull_interval_s: time between two checks for a peer with a newer
         revision.
-      bootstrap_peers: peers from which a starting instance fetches.
+      bootstrap_peers: number of peers from which a starting instance fetches.
     """
 
     watchers: int = 2
--- a/rhubarblock/fleet/drainrecord.py
+++ b/rhubarblock/fleet/drainrecord.py
@@ -18,8 +18,8 @@
 # An ended drain is kept this long, so that a delayed older order for the
 # endpoint is still recognised as outdated.
 _ENDED_RETENTION_MS = 3_600_000
-# Older drains are removed: a replaced endpoint gets a new id, so that a drain
-# this old has no effect any more.
+# Older drains are removed. A replaced endpoint gets a new id, so a drain this
+# old no longer applies to any endpoint.
 _DRAIN_RETENTION_MS = 30 * 24 * 3_600_000
 
 _Kind = stores.StoreErrorKind
--- a/rhubarblock/fleet/endpointnotices.py
+++ b/rhubarblock/fleet/endpointnotices.py
@@ -76,7 +76,7 @@
         )
         self._drains: dict[str, drainrecord.Drain] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        table.subscribe_refusals(self._announce_leaving)
+        table.subscribe_refusals(self._announce_refusal)
         transport.register(NOTICE_KIND, self._handle_notice)
         transport.register(DRAINS_KIND, self._handle_drains)
 
@@ -111,7 +111,8 @@
         """Keeps the drains in sync while the context is open.
 
         Yields:
-          This object, after it read the drains from the platform and a peer.
+          This object, after it tried to read the drains from the platform and
+          from a peer.
         """
         await self._load_record()
         await self._sync_drains()
@@ -140,7 +141,7 @@
         else:
             self._table.end_draining(drain.endpoint_id)
 
-    def _announce_leaving(self, endpoint_id: str) -> None:
+    def _announce_refusal(self, endpoint_id: str) -> None:
         notice = endpointnews_pb2.EndpointNotice(leaving=[endpoint_id])
         task = asyncio.ensure_future(self._broadcast(notice))
         self._tasks.add(task)
--- a/rhubarblock/fleet/endpoints.py
+++ b/rhubarblock/fleet/endpoints.py
@@ -44,8 +44,9 @@
     Attributes:
       hold_down: hold-down times of failed endpoints.
       panic_share: share of a service's endpoints in hold-down above which the
-        failures are taken for a common cause, and endpoints that were seen
-        since their failure are used despite their hold-down.
+        failures are assumed to have a common cause, and endpoints that were
+        seen since their failure are used despite their hold-down. Also the
+        share of endpoints missing from a list above which the list is doubted.
       recent_s: age in seconds up to which a success or load report counts as
         recent. Endpoints seen recently are tried if all are in hold-down, and
         are kept if the list drops most of a service.
@@ -151,6 +152,7 @@
         self._drained: set[str] = set()
         self._callbacks: list[StateCallback] = []
         self._refusal_callbacks: list[Callable[[str], None]] = []
+        # Cached results of ``usable``, cleared when a state changes.
         self._usable: dict[tuple[str, str], list[EndpointView]] = {}
         self._usable_until_s = float("-inf")
 
@@ -159,7 +161,7 @@
         self._callbacks.append(callback)
 
     def subscribe_refusals(self, callback: Callable[[str], None]) -> None:
-        """Calls back when an endpoint first refuses a request of ours."""
+        """Calls back when an open endpoint refuses a request from here."""
         self._refusal_callbacks.append(callback)
 
     def update_from_list(
@@ -249,7 +251,7 @@
         return endpoint_id in self._drained
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Records a peer's notice that an endpoint is about to stop."""
+        """Records a peer's notice that an endpoint refuses new requests."""
         entry = self._entries.get(endpoint_id)
         if entry is not None:
             self._record_refusal(entry)
@@ -311,8 +313,8 @@
             entry.refused_s = now_s
             self._transition(entry, entry.state_machine.leave)
             return
-        is_old = now_s - entry.refused_s > self._settings.list_lag_s
-        if is_old and entry.state_machine.state is _State.LEAVING:
+        is_lag_over = now_s - entry.refused_s > self._settings.list_lag_s
+        if is_lag_over and entry.state_machine.state is _State.LEAVING:
             self._transition(entry, entry.state_machine.restart)
 
     def _record_refusal(self, entry: _Entry) -> None:
@@ -350,11 +352,11 @@
         self, entry: _Entry, report: endpoints.LoadReport
     ) -> None:
         age_s = self._timers.read_monotonic() - entry.refused_s
-        in_doubt = age_s < self._settings.report_lag_s
+        may_be_outdated = age_s < self._settings.report_lag_s
         is_drained = report.endpoint_id in self._drained
         if report.draining or is_drained:
             self._transition(entry, entry.state_machine.drain)
-        elif not in_doubt:
+        elif not may_be_outdated:
             self._transition(entry, entry.state_machine.end_drain)
         if report.models:
             self._transition(entry, entry.state_machine.become_ready)
@@ -372,8 +374,9 @@
         candidates = [entry for entry in eligible if not self._is_held(entry)]
         held = len(eligible) - len(candidates)
         if held > self._settings.panic_share * len(eligible):
-            # So many failures have a common cause. Endpoints seen after their
-            # failure are used, since the others could not carry the load.
+            # Failures of so large a share have a common cause. Endpoints seen
+            # after their failure are used, since those that never failed could
+            # not carry the load.
             candidates = [
                 entry
                 for entry in eligible
@@ -408,7 +411,11 @@
         return now_s - entry.last_seen_s <= self._settings.recent_s
 
     def _find_next_expiry(self, now_s: float) -> float:
-        """Returns when the next hold-down ends or a last sighting gets old."""
+        """Returns the time at which cached results of ``usable`` expire.
+
+        That is when the next hold-down ends or the next sign of an endpoint is
+        no longer recent, but after ``recent_s`` at the latest.
+        """
         ends_s = [now_s + self._settings.recent_s]
         for entry in self._entries.values():
             ends_s.append(entry.hold_down.until_s)
--- a/rhubarblock/fleet/endpoints_test.py
+++ b/rhubarblock/fleet/endpoints_test.py
@@ -165,7 +165,7 @@
     assert run(scenario) == (["d2"], ["d1", "d2"])
 
 
-def test_endpoint_listed_as_leaving_then_unlisted():
+def test_endpoint_listed_as_leaving_is_unusable_then_removed():
     async def scenario():
         harness = Harness("e1", "e2", "e3")
         harness.table.update_from_list(
--- a/rhubarblock/fleet/endpointstate.py
+++ b/rhubarblock/fleet/endpointstate.py
@@ -46,7 +46,7 @@
     auto_transitions=False,
 )
 # Source states of each transition. They are checked beforehand, since the
-# machine would log a warning for any other state.
+# machine raises an error for any other state.
 _SOURCES = {step: frozenset(sources) for step, sources, _ in _TRANSITIONS}
 
 
--- a/rhubarblock/fleet/engineclient.py
+++ b/rhubarblock/fleet/engineclient.py
@@ -15,8 +15,9 @@
 class EngineClient(abc.ABC):
     """Client of the engines of a fleet, each given by its address.
 
-    Every method raises ``failure.FailureError``. Its verdict is NOT_RUN only if
-    the engine cannot have received the whole request, or refused it.
+    Every method reports a failure as ``failure.FailureError``. Its verdict is
+    NOT_RUN only if the engine cannot have received the whole request, or
+    refused it.
     """
 
     @abc.abstractmethod
@@ -62,5 +63,5 @@
 
         Raises:
           failure.FailureError: FORBIDDEN if the engine checks fencing numbers
-            and the order's one is outdated.
+            and that of the order is outdated.
         """
--- a/rhubarblock/fleet/engineupdate.py
+++ b/rhubarblock/fleet/engineupdate.py
@@ -24,8 +24,8 @@
 _CANARY_TOKENS = 8
 _POLL_S = 0.5
 
-# Failures that show that the engine was unavailable. They are no evidence
-# against the version.
+# Failures that show that the engine was unavailable. They do not show whether
+# the version works.
 _UNAVAILABLE_CODES = frozenset({_Code.NO_ENDPOINT, _Code.DRAINING})
 
 
@@ -38,7 +38,8 @@
 
     Attributes:
       name: the version, as an engine loads it.
-      certain: whether the version is at fault and not the engine.
+      certain: whether the version is certainly at fault; otherwise the engine
+        may be.
     """
 
     def __init__(self, name: str, reason: str, certain: bool):
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineUpdateSettings:
-    """Times in seconds.
+    """Timeouts of an engine update in seconds.
 
     Attributes:
       load_timeout_s: timeout for loading a model.
--- a/rhubarblock/fleet/enginewire.py
+++ b/rhubarblock/fleet/enginewire.py
@@ -308,7 +308,7 @@
 ) -> T:
     """Returns a field after checking its type."""
     value = data.get(name, default)
-    # bool is a subclass of int in Python, but no number in the protocol.
+    # bool is a subclass of int in Python, but not a number in the protocol.
     is_bool = isinstance(value, bool)
     if not isinstance(value, kind) or (is_bool and kind is not bool):
         raise _make_error(f"{name} must be of type {kind.__name__}")
--- a/rhubarblock/fleet/holddown.py
+++ b/rhubarblock/fleet/holddown.py
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class HoldDownSettings:
-    """Times in seconds.
+    """Settings of a hold-down; times are in seconds.
 
     Attributes:
       first_s: hold-down after the first failure.
@@ -38,7 +38,7 @@
         """Creates the state of an endpoint that has not failed.
 
         Args:
-          settings: times.
+          settings: first and longest hold-down, and the stable period.
         """
         self._settings = settings
         self._level = 0
--- a/rhubarblock/fleet/httpengine.py
+++ b/rhubarblock/fleet/httpengine.py
@@ -72,8 +72,8 @@
 
         Returns:
           One or more events, each with the empty line that ends it. Empty
-          after the engine has closed the stream; ``complete`` then tells
-          whether the answer was complete.
+          after the engine has closed the stream; ``complete`` is then true if
+          the answer ended with ``[DONE]``.
 
         Raises:
           failure.FailureError: the stream broke or carried an error. Events
@@ -254,7 +254,7 @@
                 raise failures.FailureError(await _read_failure(response))
             yield response
         finally:
-            # Closing the connection of an unfinished answer tells the engine to
+            # Closing the connection of an unfinished answer makes the engine
             # stop generating.
             if response.content.at_eof():
                 response.release()
--- a/rhubarblock/fleet/httpservice.py
+++ b/rhubarblock/fleet/httpservice.py
@@ -34,7 +34,8 @@
     """Sends calls over HTTP, each at most once.
 
     Attributes:
-      counters: number of calls, and of crossed responses.
+      counters: ``calls``, and ``crossed``: responses rejected because they did
+        not echo the id of the attempt.
     """
 
     __slots__ = ("_require_echo", "_session", "_timers", "counters")
--- a/rhubarblock/fleet/lease.py
+++ b/rhubarblock/fleet/lease.py
@@ -4,7 +4,7 @@
 the time before each write was sent, by its own monotonic clock and less a
 safety margin. A contender waits the full duration from when it last saw the
 lease change. So the holder stops before another instance can start, unless it
-is paused between its check and its act. The fencing number covers that case:
+is paused between its check and its order. The fencing number covers that case:
 it increases with each new holder and is the position of the write by which the
 lease was acquired.
 """
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """Times in seconds.
+    """Settings of a lease; times are in seconds.
 
     Attributes:
       duration_s: time after which an unchanged lease can be taken over.
@@ -44,7 +44,8 @@
     Attributes:
       holder: instance that holds the lease; empty after a release.
       nonce: random text that identifies each write.
-      fence: fencing number; 0 in the write that acquires the lease.
+      fence: fencing number; 0 in the write that acquires the lease, since it
+        is the position of that write.
     """
 
     holder: str
@@ -90,7 +91,7 @@
           rng: makes the nonces.
           name: name of the lease, e.g. ``orders/osu-hall/rhubarb-pool``.
           holder: id and incarnation of this instance.
-          settings: times.
+          settings: duration, safety margin and renewal interval.
         """
         self._store = store
         self._timers = timers
@@ -196,7 +197,7 @@
         if version != self._observed_version:
             self._observed_version = version
             self._observed_s = now_s
-        # An expired lease of its own can be acquired again at once: the
+        # An expired lease of this instance can be acquired again at once: the
         # conditional write fails if another instance held it in between.
         is_free = content is None or content.holder in ("", self._holder)
         is_expired = now_s - self._observed_s >= self._settings.duration_s
--- a/rhubarblock/fleet/lease_test.py
+++ b/rhubarblock/fleet/lease_test.py
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answers_next", "lose_before_next"])
-def test_lost_response_while_acquiring(fault):
+def test_lease_is_acquired_despite_a_lost_response(fault):
     async def scenario(harness):
         first = harness.leases[0]
         setattr(harness.platform.faults, fault, 1)
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answers_next", "lose_before_next"])
-def test_lost_response_while_renewing(fault):
+def test_lease_is_renewed_despite_a_lost_response(fault):
     async def scenario(harness):
         first = harness.leases[0]
         await first.renew_or_acquire()
--- a/rhubarblock/fleet/listrelay.py
+++ b/rhubarblock/fleet/listrelay.py
@@ -93,7 +93,7 @@
         return list(self._listed)
 
     async def _read_as_reader(self) -> None:
-        """Reads the platform; without any list, falls back to peers."""
+        """Reads the platform; on failure without a list, tries any peer."""
         try:
             await self._read_platform()
         except stores.StoreError:
@@ -204,9 +204,9 @@
     async def _handle_fetch(self, sender: str, payload: bytes) -> bytes:
         request = listrelay_pb2.ListRequest.FromString(payload)
         if self._is_older(_READER_MAX_AGE_S):
-            # Read from the platform and never from another peer, even if the
-            # views of who is a reader differ. During a platform outage an old
-            # list is better than none.
+            # A request is never forwarded to another peer, even if this
+            # instance does not count itself among the readers. During a
+            # platform outage an old list is better than none.
             try:
                 await self._read_platform()
             except stores.StoreError:
--- a/rhubarblock/fleet/membership/detection.py
+++ b/rhubarblock/fleet/membership/detection.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DetectionSettings:
-    """Times in seconds, and counts, of the failure detector.
+    """Settings of the failure detector; times are in seconds.
 
     The suspicion window is the sum of ``probe_timeout_s`` and ``confirm_s``.
 
--- a/rhubarblock/fleet/membership/membership.py
+++ b/rhubarblock/fleet/membership/membership.py
@@ -32,7 +32,7 @@
 SYNC_KIND = "membership.sync"
 UPDATE_KIND = "membership.news"
 
-# Most listed but unknown instances contacted per refresh of the list.
+# Maximum number of unknown instances contacted per refresh of the list.
 _CONTACTS_PER_REFRESH = 3
 # Attempts to send a broadcast update to a peer that does not confirm it.
 _UPDATE_ATTEMPTS = 2
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MembershipSettings:
-    """Times in seconds, and counts.
+    """Settings of the membership protocol; times are in seconds.
 
     Attributes:
       detector: settings of the failure detector.
@@ -53,7 +53,7 @@
         as unreachable.
       sync_interval_s: minimum time between two syncs of tables.
       list_interval_s: time between two reads of the platform's list.
-      join_interval_s: the same until the first peer is known.
+      join_interval_s: the same while no peer is known.
       forget_s: time after which the record of an instance that is gone is
         removed.
     """
@@ -240,7 +240,7 @@
             await self._broadcast_update()
 
     def _choose_contacts(self, data_centre: str) -> list[members.Member]:
-        """Returns a representative and, as a fallback, any instance."""
+        """Returns a representative and, as a fallback, a random instance."""
         representatives = self.choose_representatives(data_centre)
         contacts = self._rng.sample(representatives, len(representatives))
         return contacts[:1] + [self._rng.choice(self.list_alive(data_centre))]
--- a/rhubarblock/fleet/membership/probing_test.py
+++ b/rhubarblock/fleet/membership/probing_test.py
@@ -34,7 +34,7 @@
     assert len({subjects[2].instance_id for subjects in drawn}) == 6
 
 
-def test_ring_of_one_or_two():
+def test_ring_plan_handles_one_or_two_instances():
     plan = probing.RingPlan(2, 1, random.Random(1))
     assert plan.choose_subjects("i0", EVERYONE[:1]) == []
     assert plan.choose_subjects("i0", EVERYONE[:2]) == [EVERYONE[1]]
@@ -51,7 +51,7 @@
     assert sorted(drawn) == [f"i{number}" for number in range(1, 9)]
 
 
-def test_random_plan_of_one_or_two():
+def test_random_plan_handles_one_or_two_instances():
     plan = probing.RandomPlan(2, random.Random(1))
     assert plan.choose_subjects("i0", EVERYONE[:1]) == []
     assert plan.choose_subjects("i0", EVERYONE[:2]) == [EVERYONE[1]]
--- a/rhubarblock/fleet/membership/table.py
+++ b/rhubarblock/fleet/membership/table.py
@@ -14,8 +14,9 @@
 
 # Number of parts of the table that are compared and synced separately.
 PARTS = 16
-# An update is sent this many times the binary logarithm of the number of
-# members, which epidemic dissemination needs, with a margin for lost messages.
+# Gossip needs a number of sends per update that grows with the logarithm of the
+# number of members. Multiplying the binary logarithm by this factor includes a
+# margin for lost messages.
 _RETRANSMIT_FACTOR = 3
 _DIGEST_BYTES = 8
 
--- a/rhubarblock/fleet/membership/view.py
+++ b/rhubarblock/fleet/membership/view.py
@@ -23,7 +23,7 @@
 # Instances of a data centre that exchange heartbeats with other data centres.
 REPRESENTATIVES = 2
 _REPRESENTATIVES_KEY = "membership/representatives"
-# Most updates piggybacked on one heartbeat.
+# Maximum number of updates piggybacked on one heartbeat.
 _UPDATES_PER_HEARTBEAT = 8
 
 ChangeCallback = Callable[[members.Member], None]
@@ -167,7 +167,10 @@
         return data_centre not in self._list_unreachable()
 
     def get_last_heard(self, instance_id: str) -> float:
-        """Returns the monotonic time in seconds of the last message."""
+        """Returns when an instance last sent a heartbeat or a response to one.
+
+        The time is in seconds of the monotonic clock; -inf means never.
+        """
         return self._last_heard_s.get(instance_id, float("-inf"))
 
     def set_revision(self, revision: int) -> None:
@@ -245,7 +248,7 @@
 
         Args:
           receiver: id of the receiving instance; if it counts as gone, the
-            message carries that record so that it can refute it.
+            message carries that record, so that the receiver can refute it.
 
         Returns:
           The message, with pending updates.
--- a/rhubarblock/fleet/orders.py
+++ b/rhubarblock/fleet/orders.py
@@ -1,8 +1,8 @@
 """Runs the pool controllers that are assigned to this instance.
 
 The coordinator of a pool, chosen by rendezvous hashing, contends for the pool's
-lease. The lease and its fencing number decide who may give orders, so that two
-coordinators for a short time are harmless.
+lease. The lease and its fencing number decide who may give orders, so it is
+harmless if two instances count as coordinator for a short time.
 """
 
 import asyncio
@@ -86,7 +86,7 @@
           read_catalogue: returns the catalogue in force.
           timers: the timer service.
           rng: generates ids.
-          settings: settings.
+          settings: settings; None uses the defaults.
         """
         self._membership = membership
         self._store = store
@@ -133,8 +133,8 @@
             await self._stop_controller(service)
         for service, running in list(self._controllers.items()):
             if running.task.done():
-                # Re-raises the error that ended the controller, which stops
-                # this service.
+                # Re-raises the error that ended the controller. The timer
+                # service logs it, and the next check starts a new controller.
                 del self._controllers[service]
                 running.task.result()
 
--- a/rhubarblock/fleet/ordertracker.py
+++ b/rhubarblock/fleet/ordertracker.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OrderTrackerSettings:
-    """Times in seconds.
+    """Settings of the order tracker; times are in seconds.
 
     Attributes:
       report_lag_s: time for which an accepted order takes precedence over load
@@ -54,7 +54,7 @@
 
         Args:
           timers: the timer service.
-          settings: times.
+          settings: report lag and backoff.
         """
         self._timers = timers
         self._settings = settings
@@ -118,7 +118,10 @@
     def is_satisfied(
         self, report: endpoints.LoadReport, desired: attempts.Order
     ) -> bool:
-        """Returns whether an engine accepted an order and still complies."""
+        """Returns whether an engine accepted an order and still complies.
+
+        An accepted order that differs only in the revision counts as the same.
+        """
         accepted = self._find_accepted(report)
         if accepted is None or _differs(accepted.order, desired):
             return False
--- a/rhubarblock/fleet/orphans.py
+++ b/rhubarblock/fleet/orphans.py
@@ -49,7 +49,7 @@
 
     __slots__ = (
         "_client",
-        "_found_since_s",
+        "_orphaned_since_s",
         "_is_running",
         "_members",
         "_own",
@@ -74,7 +74,8 @@
           membership: the other instances.
           table: the engines and their latest load reports.
           client: carries calls to engines.
-          is_running: returns whether this instance runs a request id.
+          is_running: returns whether this instance runs a request, given its
+            id.
           timers: the timer service.
         """
         self._own = own
@@ -83,7 +84,7 @@
         self._client = client
         self._is_running = is_running
         self._timers = timers
-        self._found_since_s: dict[str, float] = {}
+        self._orphaned_since_s: dict[str, float] = {}
         self.counters = OrphanCounters()
 
     async def collect(self) -> None:
@@ -101,15 +102,15 @@
                 confirm_s = self._find_confirm_time(view.endpoint, attempt_id)
                 if confirm_s is None:
                     continue
-                found_since_s = self._found_since_s.get(attempt_id, now_s)
-                found[attempt_id] = found_since_s
-                if now_s - found_since_s >= confirm_s:
+                orphaned_since_s = self._orphaned_since_s.get(attempt_id, now_s)
+                found[attempt_id] = orphaned_since_s
+                if now_s - orphaned_since_s >= confirm_s:
                     due.append((view.endpoint, attempt_id))
         # Attempts that are no longer orphans are removed, which bounds the
         # size.
-        self._found_since_s = found
-        # Concurrently, so that an unresponsive engine does not delay the
-        # others.
+        self._orphaned_since_s = found
+        # The calls run concurrently, so that an unresponsive engine does not
+        # delay the others.
         await asyncio.gather(*(self._cancel(*orphan) for orphan in due))
 
     def _find_confirm_time(
--- a/rhubarblock/fleet/poolcontroller.py
+++ b/rhubarblock/fleet/poolcontroller.py
@@ -104,7 +104,7 @@
           record: rollout state stored for later holders.
           updater: gives the orders.
           timers: the timer service.
-          settings: settings.
+          settings: settings of the controller.
           counters: counters, shared between controllers.
         """
         self._pool = pool
@@ -153,8 +153,8 @@
         except stores.StoreError:
             self._counters.platform_failures += 1
             return
-        # Every engine gets a new order at once, from which it also learns the
-        # fencing number below which it must refuse orders.
+        # Every engine gets a new order at once, which also carries the fencing
+        # number below which it must refuse orders.
         self._order_tracker.clear()
         renewed_s = self._held_since_s = self._timers.read_monotonic()
         while self._lease.is_held():
@@ -200,10 +200,11 @@
         return sorted(views, key=lambda view: view.endpoint.endpoint_id)
 
     def _has_fresh_report(self, view: endpointtables.EndpointView) -> bool:
-        """Returns whether an engine's load report allows a decision.
+        """Returns whether an idle engine's load report is recent enough.
 
         An older report may not show yet what the last holder ordered, and an
-        order based on it could unload the only model.
+        order based on it could unload the only model. An engine that is being
+        updated needs no decision.
         """
         if view.endpoint.endpoint_id in self._tasks:
             return False
@@ -269,7 +270,10 @@
         plan: versionplan.VersionPlan,
         model: str,
     ) -> bool:
-        """Returns whether an engine may change to the target version now."""
+        """Returns whether an engine may change to the target version now.
+
+        An unverified version is tried only while no engine is being updated.
+        """
         name = versionplan.name_version(model, plan.targets[model])
         if self._rollouts.is_unverified(name):
             return not self._tasks
--- a/rhubarblock/fleet/poolrecord.py
+++ b/rhubarblock/fleet/poolrecord.py
@@ -41,7 +41,7 @@
         )
 
     def clean(self, wanted: dict[str, str]) -> "PoolRecord":
-        """Returns the record without entries that the catalogue has dropped.
+        """Returns the record without entries made obsolete by the catalogue.
 
         Args:
           wanted: version by model, from the catalogue.
--- a/rhubarblock/fleet/reachability.py
+++ b/rhubarblock/fleet/reachability.py
@@ -66,8 +66,8 @@
 
         Args:
           instance_id: id of the peer.
-          unreachable: data centres that it cannot reach; None if it is no
-            representative.
+          unreachable: data centres that it cannot reach; None if it is not
+            a representative.
 
         Returns:
           Whether the stored report changed.
--- a/rhubarblock/fleet/readpacing_test.py
+++ b/rhubarblock/fleet/readpacing_test.py
@@ -12,14 +12,14 @@
         self._name = name
 
     def pause_reading(self):
-        self._note("pause")
+        self._record("pause")
 
     def resume_reading(self):
-        self._note("resume")
+        self._record("resume")
 
-    def _note(self, what):
+    def _record(self, action):
         now_s = round(self._timers.read_monotonic(), 3)
-        self._log.append((now_s, self._name, what))
+        self._log.append((now_s, self._name, action))
 
 
 def run(*pauses, interval_s=0.02):
--- a/rhubarblock/fleet/roleplan.py
+++ b/rhubarblock/fleet/roleplan.py
@@ -26,9 +26,9 @@
     __slots__ = (
         "_timers",
         "_demand",
-        "_decode",
+        "_decode_count",
         "_matched_s",
-        "_decoders",
+        "_decode_ids",
     )
 
     def __init__(self, timers: timers_lib.Timers):
@@ -39,9 +39,9 @@
         """
         self._timers = timers
         self._demand = roles.Demand()
-        self._decode = 0
+        self._decode_count = 0
         self._matched_s = timers.read_monotonic()
-        self._decoders: set[str] = set()
+        self._decode_ids: set[str] = set()
 
     def update(
         self,
@@ -57,37 +57,39 @@
         self._demand = _smooth(self._demand, reports)
         count = len(reports)
         if service.decode_share >= 0.0:
-            self._decode = roles.plan_fixed_roles(count, service.decode_share)
+            self._decode_count = roles.plan_fixed_roles(
+                count, service.decode_share
+            )
         else:
             self._plan_by_load(count)
         ranked = sorted(
             (report.endpoint_id for report in reports),
             key=lambda name: rendezvous.compute_score(service.name, name),
         )
-        self._decoders = set(ranked[: self._decode])
+        self._decode_ids = set(ranked[: self._decode_count])
 
     def choose_role(self, endpoint_id: str) -> endpoints.Role:
         """Returns the role that an engine should have."""
-        if not self._decode:
+        if not self._decode_count:
             return endpoints.Role.BOTH
-        if endpoint_id in self._decoders:
+        if endpoint_id in self._decode_ids:
             return endpoints.Role.DECODE
         return endpoints.Role.PREFILL
 
     def _plan_by_load(self, count: int) -> None:
         planned = roles.plan_roles(count, self._demand)
         now_s = self._timers.read_monotonic()
-        if planned == self._decode:
+        if planned == self._decode_count:
             self._matched_s = now_s
         elif now_s - self._matched_s >= _HYSTERESIS_S:
-            self._decode = self._limit_step(planned)
+            self._decode_count = self._limit_step(planned)
             self._matched_s = now_s
 
     def _limit_step(self, planned: int) -> int:
         """Moves one engine at a time, except into or out of a split."""
-        if planned == 0 or self._decode == 0:
+        if planned == 0 or self._decode_count == 0:
             return planned
-        return self._decode + (1 if planned > self._decode else -1)
+        return self._decode_count + (1 if planned > self._decode_count else -1)
 
 
 def _smooth(
--- a/rhubarblock/fleet/serviceclient.py
+++ b/rhubarblock/fleet/serviceclient.py
@@ -1,4 +1,4 @@
-"""Interface to plain services, i.e. endpoints that are no engines."""
+"""Interface to plain services, i.e. endpoints that are not engines."""
 
 import abc
 
--- a/rhubarblock/fleet/softstate.py
+++ b/rhubarblock/fleet/softstate.py
@@ -11,8 +11,8 @@
 
 from rhubarblock.fleet.membership import member as members
 
-# Largest state of one subsystem, and most subsystems. Together they bound the
-# size of a heartbeat.
+# Maximum size of the state of one subsystem, and maximum number of subsystems.
+# Together they bound the size of a heartbeat.
 MAX_BYTES = 64
 MAX_SUBSYSTEMS = 4
 
--- a/rhubarblock/fleet/versionrollout.py
+++ b/rhubarblock/fleet/versionrollout.py
@@ -25,8 +25,9 @@
 
     Attributes:
       bake_s: seconds for which the first engine serves a new version alone.
-      failures_limit: failures attributed to a new version that halt its
-        rollout.
+      failures_limit: number of failures attributed to a new version that halt
+        its rollout; a failure that is certainly the version's fault halts it
+        at once.
     """
 
     bake_s: float = 10.0
@@ -66,7 +67,7 @@
         Args:
           record: rollout state stored for later holders.
           timers: the timer service.
-          settings: settings.
+          settings: settings of the rollouts.
           counters: counters, shared between pools.
         """
         self._record = record
