--- a/rhubarblock/core/catalogue.py
+++ b/rhubarblock/core/catalogue.py
@@ -64,7 +64,7 @@
       name: ``institution/name``.
       owner: person or team responsible for the entry.
       institution: name of its institution.
-      request_class: class of its requests; a request may ask for a lower one.
+      request_class: class of its requests.
       limits: agreed upper bounds.
       weight: share of the institution's engines under contention, relative to
         its other workspaces.
--- a/rhubarblock/core/position.py
+++ b/rhubarblock/core/position.py
@@ -1,8 +1,9 @@
 """A position in the history of a store.
 
 A store that is restored from an older copy begins a new era: its revisions go
-back and are assigned again. A revision alone therefore tells neither which of
-two states is later nor whether they are equal; a position tells both.
+back and are assigned again. Comparing revisions alone therefore shows neither
+which of two states is later nor whether they are equal; comparing positions
+shows both.
 """
 
 import dataclasses
--- a/rhubarblock/core/request.py
+++ b/rhubarblock/core/request.py
@@ -25,7 +25,7 @@
       prompt_tokens: length of the prompt in tokens.
       max_tokens: maximum number of tokens to generate.
       deadline_s: deadline, in seconds of the monotonic clock.
-      digest: hex digest of the body.
+      digest: hex digest of everything that the answer depends on.
       prefix_blocks: chained digests of the first blocks of the prompt.
       prompt: the text to forward; empty where a stand-in engine needs only
         lengths.
@@ -60,7 +60,7 @@
       method: HTTP method.
       path: path and query relative to the service, with a leading slash.
       body: request body.
-      digest: hex digest of method, path and body.
+      digest: hex digest of service, method, path and body.
       idempotent: whether the call may run more than once.
       idempotency_key: the caller's key, or None.
       deadline_s: deadline, in seconds of the monotonic clock.
--- a/rhubarblock/core/route.py
+++ b/rhubarblock/core/route.py
@@ -44,8 +44,8 @@
       shares: services that serve it.
       max_attempts: maximum number of endpoints that one request may run on.
       timeout_s: maximum time that a caller waits, in seconds.
-      objective_s: latency objective, in seconds: time to the answer, or to the
-        first event of a stream, that earns the full credit.
+      objective_s: latency objective, in seconds: an answer, or the first event
+        of a stream, has its full value for the caller up to this time.
       pause_s: objective for the time between two events of a stream, in
         seconds; 0 if the route has none.
       priority: rank, 0 is the highest.
@@ -249,16 +249,19 @@
             index._remove(route.name)
             index._by_name[route.name] = route
             index._insert(route)
-        # A route may hide another one with the same host and prefix.
+        # With duplicates, a removed route may have overridden one that must now
+        # serve their common host and prefix.
         has_duplicates = len(index._by_prefix) != len(index._by_name)
         if has_duplicates or len(self._by_prefix) != len(self._by_name):
             index._rebuild()
         return index
 
     def _remove(self, name: str) -> None:
-        gone = self._by_name.pop(name, None)
-        if gone is not None:
-            self._by_prefix.pop((gone.host, gone.path_prefix), None)
+        removed_route = self._by_name.pop(name, None)
+        if removed_route is not None:
+            self._by_prefix.pop(
+                (removed_route.host, removed_route.path_prefix), None
+            )
 
     def _insert(self, route: Route) -> None:
         self._by_prefix[route.host, route.path_prefix] = route
--- a/rhubarblock/core/verdict.py
+++ b/rhubarblock/core/verdict.py
@@ -24,7 +24,7 @@
       second: verdict on the later attempt.
 
     Returns:
-      RAN if an attempt certainly ran, NOT_RUN only if none did, else
+      RAN if an attempt certainly ran, NOT_RUN if certainly no attempt ran, else
       MAY_HAVE_RUN.
     """
     if Verdict.RAN in (first, second):
--- a/rhubarblock/kernel/exposition.py
+++ b/rhubarblock/kernel/exposition.py
@@ -1,7 +1,7 @@
 """Renders the metrics in the Prometheus text format.
 
-The Prometheus client is imported on the first scrape: most instances are never
-scraped, and its import would add to the charged cost of every start.
+The Prometheus client is imported on the first scrape. Most instances are never
+scraped, and each start is charged for, so the import would add to its cost.
 """
 
 from collections.abc import Iterator
--- a/rhubarblock/kernel/linebudget.py
+++ b/rhubarblock/kernel/linebudget.py
@@ -10,7 +10,7 @@
 import logging
 
 # Three lines for each of the eighty requests per second that one instance
-# serves at the size that the project is built for.
+# serves under the load that the project is designed for.
 LINES_PER_S = 250
 # Share of the lines that a level may use together with all lower levels. The
 # remainder is reserved for higher levels.
--- a/rhubarblock/kernel/logs.py
+++ b/rhubarblock/kernel/logs.py
@@ -1,8 +1,8 @@
 """Structured logs: one JSON object per line.
 
-A line is written for each decision about a request and for each change of the
-state that a process assumes. The number of lines per second is limited, and
-writing them never blocks the event loop.
+A line is written for each decision about a request and for each change of a
+state that the process tracks, such as that of an endpoint. The number of lines
+per second is limited, and writing them never blocks the event loop.
 """
 
 import logging
--- a/rhubarblock/kernel/timers.py
+++ b/rhubarblock/kernel/timers.py
@@ -27,7 +27,7 @@
 
     @abc.abstractmethod
     def read_wall(self) -> float:
-        """Returns the Unix time in seconds, for records that people read."""
+        """Returns the Unix time in seconds, for times sent or stored."""
 
     @abc.abstractmethod
     async def sleep(self, delay_s: float) -> None:
--- a/rhubarblock/platform/headercodec.py
+++ b/rhubarblock/platform/headercodec.py
@@ -10,7 +10,7 @@
 from rhubarblock.exchange import dialect as dialects
 from rhubarblock.platform import names
 
-# Status of the response to a request that is addressed to another endpoint.
+# Status with which an endpoint rejects a request addressed to another endpoint.
 MISDIRECTED = 421
 
 _MS_PER_S = 1000.0
@@ -138,7 +138,8 @@
       fields: its header fields.
     """
     if status == MISDIRECTED:
-        # The response is from the endpoint that has the address now.
+        # Another endpoint has the address now, and the response describes that
+        # one.
         return statements.NOTHING
     statement = statements.Statement(
         limit=read_limit(fields),
--- a/rhubarblock/platform/leaseclient.py
+++ b/rhubarblock/platform/leaseclient.py
@@ -11,7 +11,7 @@
 from rhubarblock.store import sendonce
 
 # Seconds to wait for an engine's answer. Answers normally take a few
-# milliseconds; one that is late may take seconds.
+# milliseconds. One that takes longer may take seconds, so waiting is no use.
 CALL_TIMEOUT_S = 0.4
 
 _Answer = dialects.LeaseAnswer
--- a/rhubarblock/platform/objectstore.py
+++ b/rhubarblock/platform/objectstore.py
@@ -60,7 +60,7 @@
         Args:
           session: HTTP session to use.
           address: ``host:port`` of the API.
-          count_call: counts each call by name, as calls are charged.
+          count_call: counts each call by name, as each one is charged for.
           eras: validates the era of every response.
         """
         self._eras = eras
--- a/rhubarblock/plugins/__init__.py
+++ b/rhubarblock/plugins/__init__.py
@@ -1,1 +1,1 @@
-"""Plug-ins that the registry finds here: placement policies."""
+"""Placement policies, which the registry loads as plug-ins."""
--- a/rhubarblock/plugins/fixed_lanes.py
+++ b/rhubarblock/plugins/fixed_lanes.py
@@ -1,7 +1,7 @@
 """A baseline policy that reserves a share of the engines for long prompts.
 
-It exists for comparison. Short prompts never share an engine with
-long prefills, but long prompts starve when their share of the load grows.
+It exists for comparison. Short prompts never share an engine with long
+prefills, but long prompts starve when their share of the load grows.
 """
 
 from rhubarblock.core import listed as lists
@@ -14,10 +14,12 @@
 __plugins__ = ("FixedLanes",)
 
 # Share of the engines that is reserved for long prompts, and the length in
-# tokens above which a prompt is long: the values of the users' own first trial.
+# tokens above which a prompt is long. The users tried fixed lanes with these
+# values.
 LONG_LANE_SHARE = 0.35
 LONG_TOKENS = 20_000
-# A long prompt gets one more engine for each such time of prefill, in seconds.
+# A long prompt is split over one more engine for each multiple of this prefill
+# time, in seconds.
 PREFILL_S_PER_PART = 0.1
 
 
--- a/rhubarblock/plugins/least_requests.py
+++ b/rhubarblock/plugins/least_requests.py
@@ -1,7 +1,7 @@
 """A baseline policy that sends each prompt to the engine with fewest requests.
 
-It exists for comparison. A prompt that does not fit one engine is
-split over as few engines as can hold it.
+It exists for comparison. A prompt that does not fit one engine is split over as
+few engines as can hold it.
 """
 
 from rhubarblock.core import listed as lists
--- a/rhubarblock/plugins/length_aware.py
+++ b/rhubarblock/plugins/length_aware.py
@@ -33,8 +33,9 @@
 HANDOVER_SHARE = 0.2
 # Share of the prefill engines that is left to short prompts.
 SHORT_LANE_SHARE = 0.22
-# Longest extra wait elsewhere before a longer prompt uses those engines, in
-# seconds, if all weight is on the slowdown of short requests.
+# Extra wait elsewhere, in seconds, from which on a longer prompt uses the
+# engines that are left to short ones, if all weight is on the slowdown of short
+# requests.
 MAX_LANE_WAIT_S = 1.0
 # Mean time until an engine ends the slice of a longer prompt, in seconds.
 SLICE_WAIT_S = 0.055
@@ -125,9 +126,9 @@
     query: placements.PlacementQuery, table: loadtable.LoadTable
 ) -> list[loadtable.EndpointLoad]:
     loads = table.list_loads(query.service, query.model)
-    fresh = [x for x in loads if x.endpoint.endpoint_id not in query.avoid]
+    preferred = [x for x in loads if x.endpoint.endpoint_id not in query.avoid]
     # Failed endpoints are still used if there are no others.
-    return fresh or loads
+    return preferred or loads
 
 
 def _list_workers(
@@ -153,9 +154,9 @@
 ) -> placements.Placement | None:
     """Splits a prompt over the engines with the most free KV cache.
 
-    Callers try the preferred engines first. If these can't hold the prompt
-    together, they try all engines, including those with the decode role and
-    those that failed before.
+    The policy calls this first with the engines that run prefill and have not
+    failed for this prompt. If these cannot hold the prompt together, it calls
+    it with all engines.
     """
     with_room = sorted(workers, key=lambda x: -x.estimate_free_kv())
     return segments.split_prompt(
@@ -166,9 +167,10 @@
 def _estimate_cost(
     load: loadtable.EndpointLoad, priority: int, work_s: float, now_s: float
 ) -> float:
-    """Returns the wait of this prompt and the delay that it causes others.
+    """Returns the cost of placing this prompt at an engine, in seconds.
 
-    Both are in seconds and added up.
+    It is the sum of the prompt's wait, the delay of the prompts behind it, and
+    a cost for each running answer.
     """
     backlog = load.estimate_backlog(priority, now_s)
     wait_s = backlog.before / load.prefill_rate
--- a/rhubarblock/plugins/naive.py
+++ b/rhubarblock/plugins/naive.py
@@ -25,15 +25,19 @@
         table: loadtable.LoadTable,
         now_s: float,
     ) -> placements.Placement | None:
-        known = table.list_loads(query.service, query.model)
-        fresh = [x for x in known if x.endpoint.endpoint_id not in query.avoid]
-        loads = sorted(fresh or known, key=lambda load: len(load.grants))
+        all_loads = table.list_loads(query.service, query.model)
+        preferred = [
+            x for x in all_loads if x.endpoint.endpoint_id not in query.avoid
+        ]
+        loads = sorted(
+            preferred or all_loads, key=lambda load: len(load.grants)
+        )
         if not loads:
             return None
         best = loads[0]
         if query.prompt_tokens + query.max_tokens > best.kv_capacity:
             found = segments.split_prompt(query, loads, priority=0)
-            return found or segments.split_prompt(query, known, priority=0)
+            return found or segments.split_prompt(query, all_loads, priority=0)
         name = best.endpoint.endpoint_id
         return placements.Placement(name, name, priority=0)
 
--- a/rhubarblock/relay/callcontext.py
+++ b/rhubarblock/relay/callcontext.py
@@ -1,4 +1,4 @@
-"""What the handlers of all callers' paths need to read a call."""
+"""The context that all handlers of the callers' APIs share."""
 
 from collections.abc import Callable
 
--- a/rhubarblock/relay/claims/index.py
+++ b/rhubarblock/relay/claims/index.py
@@ -6,7 +6,8 @@
 from rhubarblock.relay.claims import table as claimtable
 from rhubarblock.store import store as stores
 
-# Segments that are read concurrently after a start.
+# Most segments that are read concurrently. After a start none is cached, so all
+# are read.
 MAX_CONCURRENT_READS = 8
 
 
--- a/rhubarblock/relay/claims/interleave_test.py
+++ b/rhubarblock/relay/claims/interleave_test.py
@@ -370,7 +370,7 @@
 
 @dataclasses.dataclass
 class Trace:
-    """The steps of one schedule and the fault that it found.
+    """The steps of one schedule and the fault that they led to.
 
     Attributes:
       labels: the steps taken.
--- a/rhubarblock/relay/claims/ledger.py
+++ b/rhubarblock/relay/claims/ledger.py
@@ -36,8 +36,9 @@
 from rhubarblock.store import backoff as backoffs
 from rhubarblock.store import store as stores
 
-# Claim timeout in seconds while the platform has been failing for longer than
-# the regular one: enough for one more attempt.
+# Claim timeout in seconds once the platform has been failing for longer than
+# the regular timeout. It allows one more attempt, so that not every caller
+# waits for the whole regular timeout.
 FAILING_TIMEOUT_S = 1.0
 
 
@@ -234,7 +235,7 @@
         left_s = end_s - self._timers.read_monotonic()
         await asyncio.wait([operation.done], timeout=left_s)
         if not operation.done.done():
-            # The row may still be written, but must never be used any more.
+            # The row may still be written, but the call must not be sent.
             operation.abandoned = True
             return self._make_unavailable()
         if operation.done.exception() is not None:
@@ -320,7 +321,7 @@
         await operation.done
 
     async def _find_shard(self, key_digest: str, end_s: float) -> Shard | None:
-        """Returns the shard of a key, or None if no layout is loaded."""
+        """Returns the shard of a key, or None if no layout loads in time."""
         left_s = end_s - self._timers.read_monotonic()
         if not await self._layout.wait_loaded(left_s):
             return None
--- a/rhubarblock/relay/claims/ledger_test.py
+++ b/rhubarblock/relay/claims/ledger_test.py
@@ -185,8 +185,8 @@
         ]
         outcomes = await asyncio.gather(*calls)
         assert set(outcomes) == {UNAVAILABLE}
-        # Shards retry about once a second for five seconds; the bound would
-        # allow for 16 of them.
+        # A shard retries about once a second for five seconds. The bound leaves
+        # room for 16 shards with 20 reads each.
         assert cluster.store.counters["read"] < 16 * 20
         # Only a sole writer writes a shard without reading it first.
         assert cluster.store.counters["write"] <= 16
--- a/rhubarblock/relay/claims/pacer.py
+++ b/rhubarblock/relay/claims/pacer.py
@@ -2,12 +2,16 @@
 
 from rhubarblock.kernel import timers as timer_service
 
-# Burst that is allowed after idle time, in seconds of the rate.
+# After idle time, as many writes may follow at once as the rate allows in this
+# many seconds.
 BURST_S = 0.5
 
 
 class WritePacer:
-    """Delays writes to a rate; a delayed write collects more claims."""
+    """Delays writes so that they keep to a rate.
+
+    Claims that arrive during a delay share the next write.
+    """
 
     __slots__ = ("_next_write_s", "_rate_per_s", "_timers")
 
--- a/rhubarblock/relay/claims/route.py
+++ b/rhubarblock/relay/claims/route.py
@@ -21,8 +21,9 @@
 MESSAGE_KIND = "claims.commit"
 DUTY_PREFIX = "claims/"
 
-# Returns the address of the holder of a duty, or None if this instance holds it
-# or no holder is known.
+# Returns the address of the instance that coordinates a duty; the duty of a
+# shard is named ``claims/<shard>``. Returns None if this instance is the
+# coordinator, or if no coordinator is known.
 CoordinatorFinder = Callable[[str], str | None]
 
 
--- a/rhubarblock/relay/claims/row.py
+++ b/rhubarblock/relay/claims/row.py
@@ -54,7 +54,8 @@
       attempt_id: id of the request that made the claim, for diagnosis only.
       state: state of the run.
       claimed_wall_s: wall time of the claim, in seconds since 1970.
-      until_wall_s: wall time after which no answer will be recorded.
+      until_wall_s: deadline of the call as wall time; no answer is expected
+        after it.
       answer: answer of a finished run.
     """
 
--- a/rhubarblock/relay/claims/seal.py
+++ b/rhubarblock/relay/claims/seal.py
@@ -33,10 +33,10 @@
 # their rows in bytes.
 MERGE_COUNT = 16
 MERGE_BYTES = 600_000
-# Attempts to list a segment in the head before it is left to be dropped by the
-# next seal.
+# Attempts to list a segment in the head. After the last one, the next seal
+# drops the segment.
 PUBLISH_ATTEMPTS = 8
-# Seconds between two such attempts.
+# Seconds between two attempts to list a segment.
 PUBLISH_RETRY_WAIT_S = 0.01
 
 _Kind = stores.StoreErrorKind
--- a/rhubarblock/relay/claims/settings.py
+++ b/rhubarblock/relay/claims/settings.py
@@ -29,7 +29,7 @@
       retention_s: shortest time for which a key is remembered, in seconds.
       clock_error_s: largest difference between two machines' wall clocks, in
         seconds.
-      seal_bytes: size of a head's rows from which on they are sealed, in bytes.
+      seal_bytes: size of a head's rows at which they are sealed, in bytes.
       head_limit: size of a head above which claims are refused, in bytes.
       drain_s: longest wait for outcomes to be recorded on shutdown, in seconds.
       backoff: waits between attempts after failures of the platform.
--- a/rhubarblock/relay/claims/shard.py
+++ b/rhubarblock/relay/claims/shard.py
@@ -21,7 +21,8 @@
 from rhubarblock.store import backoff as backoffs
 from rhubarblock.store import store as stores
 
-# After a conflict with another writer, the next attempt may follow soon.
+# Waits after a conflict. They are short, because a conflict only means that
+# another instance wrote the head in between.
 CONFLICT_BACKOFF = backoffs.BackoffSettings(first_s=0.004, max_s=0.1)
 
 _Kind = stores.StoreErrorKind
--- a/rhubarblock/relay/claims/table.py
+++ b/rhubarblock/relay/claims/table.py
@@ -2,8 +2,8 @@
 
 The head holds the recent rows and lists the segments. A segment is immutable
 and consists of two objects, its rows and the sorted digests of their keys. An
-instance reads the digests once and can then tell which keys are not in the
-segment.
+instance reads the digests once and then needs no further read to rule out that
+a key is in the segment.
 
 Every change is a conditional write of the head. A writer that has read the
 current version of the head has therefore seen all claims.
--- a/rhubarblock/relay/completion.py
+++ b/rhubarblock/relay/completion.py
@@ -12,7 +12,7 @@
       completion_tokens: length of the answer in tokens.
       cached_tokens: prompt tokens that an engine had in its prefix cache.
       finish_reason: ``stop`` or ``length``.
-      attempts: number of jobs that were run for it.
+      attempts: number of tries, including failed ones.
       first_token_s: monotonic time of the first token.
     """
 
--- a/rhubarblock/relay/completionsapi_test.py
+++ b/rhubarblock/relay/completionsapi_test.py
@@ -182,8 +182,8 @@
             return held, await slow.read(-1)
 
     held, received = asyncio.run(main())
-    # The answer has 15 MB. The reader's backpressure must stop it once the
-    # socket buffers of the kernel and the response buffer are full.
+    # The answer has 15 MB. The relay must be blocked once the socket buffers of
+    # the kernel and the response buffer are full.
     assert 0 < held < 10_000
     assert received.count(b"x" * 1_000) == chunks
     assert received.endswith(b"data: [DONE]\n\n\r\n0\r\n\r\n")
--- a/rhubarblock/relay/crashes.py
+++ b/rhubarblock/relay/crashes.py
@@ -1,9 +1,9 @@
 """Detects whether an attempt failed because its engine crashed.
 
 A stream may break for many reasons, and only a crash makes the requests in
-flight suspects. The engine is therefore probed: it has crashed if it refuses
-the connection or has restarted. Attempts that fail at the same time share one
-probe.
+flight suspects. The engine is therefore probed. It counts as crashed if it
+refuses the connection, if it answers with an error, or if its start id shows a
+restart. Attempts that fail at the same time share one probe.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 from rhubarblock.fleet import engineclient
 from rhubarblock.routing.quarantine import gate as quarantines
 
-# Seconds to wait for an engine's reply. A timeout is no crash: the engine may
-# only be paused.
+# Seconds to wait for an engine's reply. A timeout does not count as a crash,
+# because the engine may only be paused.
 PROBE_TIMEOUT_S = 0.5
 
 
--- a/rhubarblock/relay/cursor_test.py
+++ b/rhubarblock/relay/cursor_test.py
@@ -46,7 +46,7 @@
 
 
 def test_chunk_of_another_attempt_is_dropped_and_counted():
-    """Also if it is an end and has the next index."""
+    """Also if it is marked as the end and has the expected index."""
     other = make_chunk(1, attempt_id="q/1", end=True, digest="e")
     assert feed(make_chunk(0), other) == (
         enginetokens.expected_text("d", 0, 1),
--- a/rhubarblock/relay/guard.py
+++ b/rhubarblock/relay/guard.py
@@ -142,7 +142,7 @@
     async def note_failure(
         self, endpoint_id: str, address: str, failure: failures.Failure
     ) -> None:
-        """Reports a failed attempt; returns once peers know of any crash."""
+        """Reports a failed attempt; returns once peers have any crash."""
         self._report(endpoint_id, failure)
         if failure.code in (
             failures.FailureCode.ENDPOINT_FAILED,
--- a/rhubarblock/relay/promptrelay.py
+++ b/rhubarblock/relay/promptrelay.py
@@ -31,11 +31,11 @@
         "_guard",
         "_lifecycle",
         "_metrics",
-        "_retries",
+        "_retry_policy",
         "_routing",
         "_running",
         "_timers",
-        "_tries",
+        "_try_runner",
     )
 
     def __init__(
@@ -61,9 +61,9 @@
         """
         self._lifecycle = lifecycle
         self._routing = routing
-        self._tries = try_runner
+        self._try_runner = try_runner
         self._guard = guard
-        self._retries = retry_policy
+        self._retry_policy = retry_policy
         self._timers = timers
         self._metrics = metrics
         self._running: set[str] = set()
@@ -154,13 +154,13 @@
         while True:
             history.attempts += 1
             try:
-                completion = await self._tries.run_try(
+                completion = await self._try_runner.run_try(
                     request, cursor, history, dispatch_permit
                 )
             except runners.AttemptError as error:
                 self._metrics.count("relay.attempts_failed")
                 history.note_failure(error.failure, error.endpoint_id)
             else:
-                self._retries.note_success()
+                self._retry_policy.note_success()
                 return completion
-            await self._retries.wait(history, request.deadline_s)
+            await self._retry_policy.wait(history, request.deadline_s)
--- a/rhubarblock/relay/prompts.py
+++ b/rhubarblock/relay/prompts.py
@@ -17,6 +17,7 @@
 from rhubarblock.relay import callers
 
 BYTES_PER_TOKEN = 4
+# Tokens of a block, the unit in which prompts share a prefix.
 BLOCK_TOKENS = 512
 # Most blocks of a prompt that are digested. Only the beginning of a prompt can
 # be shared with other prompts.
@@ -28,7 +29,8 @@
 SUPPORTED_FIELDS = frozenset(
     {"model", "prompt", "max_tokens", "stream", "stream_options"}
 )
-# Fields of the published API that are accepted and have no effect here.
+# Fields of the published API that are accepted and have no effect here. Only
+# those in _SINGLE_CHOICE_FIELDS are checked: they must ask for one choice.
 IGNORED_FIELDS = frozenset(
     {
         "best_of",
--- a/rhubarblock/relay/retries.py
+++ b/rhubarblock/relay/retries.py
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """The jobs of one request so far.
+    """The tries of one request so far; ``relay.tries`` describes a try.
 
     Attributes:
-      attempts: number of jobs started.
-      sent: whether the present job may have reached an engine.
-      was_sent: whether any job may have reached an engine.
-      verdict: combined verdict of the jobs that have ended.
-      failed_endpoints: endpoints at which a job failed.
+      attempts: number of tries started.
+      sent: whether the current try may have reached an engine.
+      was_sent: whether any try may have reached an engine.
+      verdict: combined verdict of the tries that have ended.
+      failed_endpoints: endpoints at which a try failed.
       last: the latest failure.
     """
 
@@ -38,7 +38,7 @@
     last: failures.Failure | None = None
 
     def note_failure(self, failure: failures.Failure, endpoint_id: str) -> None:
-        """Records that a job failed at an endpoint."""
+        """Records that a try failed at an endpoint."""
         self.last = failure
         self.sent = False
         self.verdict = verdicts.combine(self.verdict, failure.verdict)
@@ -51,7 +51,7 @@
         return self.verdict
 
     def combine_verdict(self, failure: failures.Failure) -> failures.Failure:
-        """Returns a failure with the combined verdict of all jobs."""
+        """Returns a failure with the combined verdict of all tries."""
         verdict = verdicts.combine(self.compute_verdict(), failure.verdict)
         return dataclasses.replace(failure, verdict=verdict)
 
@@ -76,10 +76,10 @@
         self._budget.record_success()
 
     async def wait(self, history: History, deadline_s: float) -> None:
-        """Waits before the next job.
+        """Waits before the next try.
 
         Args:
-          history: the jobs so far; the last one has failed.
+          history: the tries so far; the last one has failed.
           deadline_s: deadline of the request, in monotonic seconds.
 
         Raises:
--- a/rhubarblock/relay/runner.py
+++ b/rhubarblock/relay/runner.py
@@ -24,7 +24,8 @@
 
 # Longest time between two tokens in seconds; then the engine has stalled.
 TOKEN_TIMEOUT_S = 3.0
-# Multiple of the nominal time to first token that is allowed in addition.
+# The first token may take this multiple of its predicted time, the expected
+# wait included, in addition to TOKEN_TIMEOUT_S.
 FIRST_TOKEN_TIMEOUT_RATIO = 4.0
 
 
@@ -43,7 +44,7 @@
     Attributes:
       request: request of the caller.
       placement: engines that run it.
-      number: number of this job within the request, from 1.
+      number: number of its try within the request, from 1.
       owner: this instance, ``instance_id~incarnation``.
       cursor: position in the answer.
       on_prefill_done: called for each chunk with tokens and at the end of each
@@ -88,7 +89,11 @@
 
 
 class AttemptRunner:
-    """Runs jobs at the engines of a fleet."""
+    """Runs jobs at the engines of a fleet.
+
+    Attributes:
+      find_address: returns the address of an endpoint id.
+    """
 
     __slots__ = (
         "_cleanup",
@@ -139,8 +144,9 @@
         """Returns the address of an endpoint.
 
         Raises:
-          AttemptError: the endpoint is not known here yet. It is an attempt
-            that failed, so that another endpoint is tried.
+          AttemptError: this instance does not have the endpoint's address yet.
+            This counts as a failed attempt, so that the retry uses another
+            endpoint.
         """
         try:
             return self.find_address(endpoint_id)
@@ -175,7 +181,8 @@
                 await self._read_stream(
                     job, chunks, job.placement.decode_id, TOKEN_TIMEOUT_S
                 )
-            # The prefill engine dropped the export when it had been read.
+            # The decode engine has read the export, so the prefill engine has
+            # freed it.
             export.dropped = True
 
     async def _run_group(self, job: Job) -> None:
@@ -252,7 +259,7 @@
     async def _hold_export(
         self, address: str, attempt_id: str
     ) -> AsyncIterator["Export"]:
-        """Cancels an exporting attempt on exit, unless it was dropped.
+        """Cancels an exporting attempt on exit, unless its export was freed.
 
         An export outlives its stream: the engine keeps the KV cache until
         another engine has read it.
--- a/rhubarblock/relay/tries.py
+++ b/rhubarblock/relay/tries.py
@@ -2,8 +2,9 @@
 
 A request makes one or more tries until its answer is whole. Each try places
 the prompt and runs one job at the engines of that placement. It holds a permit
-if the prompt is suspected of crashing engines, and a grant of the pool's
-coordinator; both are released however the try ends.
+if the prompt is suspected of crashing engines. It also holds a grant, by which
+the pool's coordinator counts the load of the placement. Both are released
+however the try ends.
 """
 
 from collections.abc import Callable
@@ -58,7 +59,7 @@
 
 
 class SuspectedError(Exception):
-    """A prompt became suspect while it waited for a placement."""
+    """A prompt came under suspicion while it waited for a placement."""
 
 
 class TryRunner:
@@ -110,19 +111,19 @@
         history: retries.History,
         dispatch_permit: fairqueue.DispatchPermit,
     ) -> completions.Completion:
-        """Runs a prompt once, from the first token that its caller lacks.
+        """Runs a prompt once, from the first token that was not delivered yet.
 
         Args:
           request: a prompt that was admitted.
           cursor: position in the answer.
-          history: the jobs of the request so far.
+          history: the tries of the request so far.
           dispatch_permit: its slot in the queue's window, released at the first
             token.
 
         Raises:
           runners.AttemptError: the job failed at an engine.
-          failures.FailureError: the prompt was not sent and must not be
-            retried.
+          failures.FailureError: this try sent nothing, and the prompt must not
+            be retried.
         """
         while True:
             try:
@@ -195,8 +196,9 @@
     ) -> None:
         """Rejects a prompt whose wait at its engine would miss the deadline.
 
-        The coordinator knows the current load of the engine; the predictor
-        knows only past requests. Nothing was sent yet.
+        The expected wait follows from the current load of the engine, whereas
+        the predictor, which admission used, only has the times of past
+        requests. Nothing was sent yet.
         """
         now_s = self._timers.read_monotonic()
         checked = self._routing.admission.check_placement(
--- a/rhubarblock/settings/loader.py
+++ b/rhubarblock/settings/loader.py
@@ -17,7 +17,7 @@
 from rhubarblock.settings import inifile
 from rhubarblock.settings import kinds
 
-# A larger file is a mistake and no settings file.
+# A larger file is refused, since it can only be given by mistake.
 MAX_FILE_BYTES = 1 << 20
 
 
--- a/rhubarblock/store/confirmedwrite.py
+++ b/rhubarblock/store/confirmedwrite.py
@@ -81,8 +81,8 @@
         Raises:
           store.StoreError: CONFLICT if the write certainly had no effect;
             UNSURE if the outcome is still unknown at the deadline, or if a
-            later write hides whether this one took effect; UNAVAILABLE if the
-            platform rejected every try.
+            later write replaced the content that would show whether this one
+            took effect; UNAVAILABLE if the platform rejected every try.
         """
         backoff = backoffs.Backoff(self._rng, self._settings)
         unsure = False
--- a/rhubarblock/store/httpstore.py
+++ b/rhubarblock/store/httpstore.py
@@ -23,7 +23,7 @@
 
 
 class HttpStore(stores.ObjectStore):
-    """Client of a platform that speaks docs/standins-platform.md."""
+    """Client of the protocol in docs/standins-platform.md."""
 
     __slots__ = ("_base_url", "_headers", "_session", "_timeout_s")
 
--- a/rhubarblock/store/storewire.py
+++ b/rhubarblock/store/storewire.py
@@ -1,7 +1,7 @@
 """Names and encodings of the object API over HTTP.
 
-The protocol is described in docs/standins-platform.md; the client and the
-stand-in's server share this module, so that they cannot differ.
+The protocol is described in docs/standins-platform.md. The client and the
+stand-in's server share this module, so that they use the same encodings.
 """
 
 import base64
