--- a/rhubarblock/admin/api.py
+++ b/rhubarblock/admin/api.py
@@ -112,7 +112,7 @@
         message = messages.parse_message(body, messages.ApplyMessage)
         parsed = files.parse_catalogue(message.text, _TEXT_NAME)
         if isinstance(parsed, result.Failure):
-            raise _refuse_text(parsed.failure())
+            raise _make_text_error(parsed.failure())
         outcome = await self._parts.changes.apply(
             changes.ChangeRequest(
                 message.change_id,
@@ -215,7 +215,7 @@
                 return current.catalogue
             older = await archive.read_catalogue(revision)
         except (stores.StoreError, codec.CodecError) as error:
-            raise _refuse_platform(error) from error
+            raise _make_platform_error(error) from error
         if older is None:
             raise errors.refuse(
                 _Code.BAD_REQUEST, f"revision {revision} is not kept"
@@ -228,7 +228,7 @@
         try:
             records = await self._parts.changes.archive.list_records()
         except (stores.StoreError, codec.CodecError) as error:
-            raise _refuse_platform(error) from error
+            raise _make_platform_error(error) from error
         return audittrail.select_records(
             records, audit_filter, actor.institution
         )
@@ -259,7 +259,7 @@
         except (stores.StoreError, codec.CodecError) as error:
             if message.unrecorded:
                 return False
-            raise _refuse_platform(error) from error
+            raise _make_platform_error(error) from error
         return True
 
 
@@ -315,7 +315,7 @@
     return moment.isoformat(timespec="seconds")
 
 
-def _refuse_text(catalogue_errors: tuple[Any, ...]) -> errors.ApiError:
+def _make_text_error(catalogue_errors: tuple[Any, ...]) -> errors.ApiError:
     failure = failures.Failure(
         _Code.INVALID_CATALOGUE,
         f"the catalogue has {len(catalogue_errors)} errors",
@@ -325,7 +325,7 @@
     )
 
 
-def _refuse_platform(error: Exception) -> errors.ApiError:
+def _make_platform_error(error: Exception) -> errors.ApiError:
     return errors.ApiError(
         failures.Failure(
             _Code.PLATFORM_UNAVAILABLE,
--- a/rhubarblock/admin/fakeparts_test.py
+++ b/rhubarblock/admin/fakeparts_test.py
@@ -53,7 +53,7 @@
         )
 
 
-class FixedWall(timers.LoopTimers):
+class FixedWallClock(timers.LoopTimers):
     def read_wall(self):
         return WALL_S
 
@@ -72,7 +72,7 @@
         self.store = fakestore.FakeStore()
         self.drains = RecordingDrains()
         self.in_force = catalogues.Catalogue()
-        clock = FixedWall()
+        clock = FixedWallClock()
         self.app = api.create_app(
             api.AdminParts(
                 changes.ChangeService(
--- a/rhubarblock/admin/status.py
+++ b/rhubarblock/admin/status.py
@@ -21,7 +21,7 @@
       revision: catalogue revision in force there; 0 if unknown.
       in_flight: requests in flight; None if unknown.
       heard_s: seconds since it was last known to be alive; 0 for the answering
-        instance.
+        instance and if unknown.
     """
 
     instance_id: str
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LimitStatus:
-    """One limit and its use over all instances, as far as known.
+    """One limit and its use, as far as the answering instance knows it.
 
     Attributes:
       owner: name of the institution or workspace in the catalogue.
@@ -86,7 +86,7 @@
 
     Attributes:
       digest: digest of the body.
-      institution: institution that sent the request.
+      institution: institution that sent the request; empty if unknown.
       crashes: number of endpoint crashes attributed to it.
       ends_in_s: seconds until it may run again.
     """
--- a/rhubarblock/catalogue/changes_test.py
+++ b/rhubarblock/catalogue/changes_test.py
@@ -221,14 +221,14 @@
         # Both archive writes succeed; every write of the catalogue fails.
         refusals = [FAULT.REFUSE] * changes.COMMIT_ATTEMPTS
         harness.store.write_faults = [None, None, *refusals]
-        dead = await harness.apply(1, change_owner("Dead"), "c2")
-        alive = await harness.apply(1, change_owner("Alive"), "c3")
+        failed = await harness.apply(1, change_owner("Dead"), "c2")
+        applied = await harness.apply(1, change_owner("Alive"), "c3")
         records = await harness.service.archive.list_records()
-        return get_code(dead), alive, [r.change_id for r in records]
+        return get_code(failed), applied, [r.change_id for r in records]
 
-    code, alive, ids = run(scenario)
+    code, applied, ids = run(scenario)
     assert code is CODE.PLATFORM_UNAVAILABLE
-    assert alive.unwrap().revision == 2
+    assert applied.unwrap().revision == 2
     assert ids == ["c3", "c1"]
 
 
--- a/rhubarblock/catalogue/codec_test.py
+++ b/rhubarblock/catalogue/codec_test.py
@@ -63,7 +63,8 @@
         codec.decode(content)
 
 
-def test_catalogue_of_the_two_year_size_fits_into_one_object():
+def test_catalogue_of_the_expected_size_fits_into_one_object():
+    # 230 workspaces are expected in two years.
     catalogue = samples.parse()
     workspace = catalogue.workspaces["adwoa/claims"]
     names = [f"adwoa/workspace-{number}" for number in range(230)]
--- a/rhubarblock/catalogue/samples_test.py
+++ b/rhubarblock/catalogue/samples_test.py
@@ -92,5 +92,5 @@
 
 
 @pytest.mark.parametrize("catalogue", [parse(), parse("")])
-def test_the_samples_are_valid(catalogue):
+def test_sample_catalogues_are_valid(catalogue):
     assert validation.validate(catalogue) == ()
--- a/rhubarblock/daemon/callerserver_test.py
+++ b/rhubarblock/daemon/callerserver_test.py
@@ -94,7 +94,10 @@
     "unknown workspace": (
         404,
         "unknown_workspace",
-        _REQUEST(make_body(), Authorization=f"Bearer {loopback.STRAY_SECRET}"),
+        _REQUEST(
+            make_body(),
+            Authorization=f"Bearer {loopback.UNLISTED_WORKSPACE_SECRET}",
+        ),
         "workspace 'adwoa/closed' is not in the catalogue",
     ),
     "prompt too long": (
--- a/rhubarblock/daemon/edge.py
+++ b/rhubarblock/daemon/edge.py
@@ -1,7 +1,7 @@
 """The daemon of an exchange instance on the users' platform.
 
-It imports only what it needs to serve: each start is charged for, and no
-caller is served until it is complete.
+It imports only what it needs to serve: the users' platform charges for the cost
+of each start, and no caller is served until the start is complete.
 """
 
 import asyncio
--- a/rhubarblock/daemon/endpointstatements_test.py
+++ b/rhubarblock/daemon/endpointstatements_test.py
@@ -72,10 +72,10 @@
 
 def test_endpoint_that_announced_its_stop_gets_no_further_requests():
     async def main():
-        leaving = StatementEndpoint("200 OK", f"{names.LEAVING}: 1\r\n")
-        async with open_instance(leaving) as ask:
+        stopping = StatementEndpoint("200 OK", f"{names.LEAVING}: 1\r\n")
+        async with open_instance(stopping) as ask:
             for _ in range(FOLLOWING_REQUESTS):
                 await ask()
-            return len(leaving.arrived_s)
+            return len(stopping.arrived_s)
 
     assert asyncio.run(main()) == 1
--- a/rhubarblock/daemon/endpointwatch.py
+++ b/rhubarblock/daemon/endpointwatch.py
@@ -68,7 +68,7 @@
         states.subscribe(self._on_state_change)
 
     async def refresh_list(self) -> None:
-        """Reads the list; the last one stays while the platform is down."""
+        """Reads the list; keeps the previous one while the platform is down."""
         try:
             listed = await self._source.fetch_instances()
         except stores.StoreError:
--- a/rhubarblock/daemon/exchangeinstance.py
+++ b/rhubarblock/daemon/exchangeinstance.py
@@ -183,7 +183,7 @@
     def _reset_endpoint(
         self, endpoint_id: str, limits: endpointlimits.EndpointLimits
     ) -> None:
-        """Discards what earlier runs of a restarted endpoint left behind."""
+        """Discards the state recorded for earlier runs of an endpoint."""
         self.job_tracker.remove_engine(endpoint_id)
         self.health.forget(endpoint_id)
         limits.forget(endpoint_id)
--- a/rhubarblock/daemon/fleetstatus.py
+++ b/rhubarblock/daemon/fleetstatus.py
@@ -154,7 +154,9 @@
             for view in self._instance.endpoints.states.list_views()
         }
         if not names or any(name not in views for name in names):
-            raise _refuse(f"{target} has no endpoint that is known here")
+            raise _make_bad_request(
+                f"{target} has no endpoint that is known here"
+            )
         in_flight = 0
         for name in names:
             await self._instance.endpoint_notices.order_drain(name, True)
@@ -175,14 +177,16 @@
     def _drain_self(self, target: draining.DrainTarget) -> statuses.DrainStatus:
         own = self._instance.identity.instance_id
         if target.name != own:
-            raise _refuse(f"ask instance {target.name} itself; this is {own}")
+            raise _make_bad_request(
+                f"ask instance {target.name} itself; this is {own}"
+            )
         lifecycle = self._instance.lifecycle
         lifecycle.start_drain()
         state = "draining" if lifecycle.in_flight else "drained"
         return statuses.DrainStatus("instance", own, state, lifecycle.in_flight)
 
 
-def _refuse(message: str) -> failures.FailureError:
+def _make_bad_request(message: str) -> failures.FailureError:
     return failures.FailureError(
         failures.Failure(failures.FailureCode.BAD_REQUEST, message)
     )
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -72,8 +72,8 @@
       metrics: its counters.
       membership: its view of the other instances.
       coordinators: finds the coordinator of each duty.
-      listed: the platform's instance list, which a few instances read for
-        their whole data centre.
+      listed: the platform's instance list, which two instances of each data
+        centre read and pass on to the others.
       catalogue: the catalogue in force.
       lender: lends shares of the limits between instances.
       limiter: limits of institutions and workspaces.
@@ -82,7 +82,8 @@
       endpoints: polls the endpoints and tracks their state.
       endpoint_notices: announcements and drain orders of endpoints.
       orders: desired state of the engines.
-      orphans: cancels attempts at engines whose instance is gone.
+      orphans: cancels attempts that still run at engines after the instance
+        that sent them has stopped or crashed.
       parts: serves prompts.
       caller: calls plain services; set only while the instance runs.
     """
--- a/rhubarblock/daemon/listing.py
+++ b/rhubarblock/daemon/listing.py
@@ -1,8 +1,8 @@
 """Registers an instance in the platform's instance list while it runs.
 
-The list only helps others find the instance; its seeds and peers know it
-without the platform. A failed write is therefore retried later and never stops
-the instance.
+The list only helps others find the instance; its seeds and peers communicate
+with it without the platform. A failed write is therefore retried later and
+never stops the instance.
 """
 
 from collections.abc import AsyncIterator
--- a/rhubarblock/daemon/listing_test.py
+++ b/rhubarblock/daemon/listing_test.py
@@ -25,7 +25,7 @@
         self.calls = []
 
     async def read(self, name):
-        raise AssertionError("a single line is not read")
+        raise AssertionError("a single record is not read")
 
     async def list_objects(self, prefix):
         self.calls.append("list")
--- a/rhubarblock/daemon/loopbackfleet_test.py
+++ b/rhubarblock/daemon/loopbackfleet_test.py
@@ -31,7 +31,7 @@
 
 SECRET = "adwoa-caller"
 OPERATOR_SECRET = "adwoa-operator"
-STRAY_SECRET = "adwoa-stray"
+UNLISTED_WORKSPACE_SECRET = "adwoa-stray"
 TIMEOUT_S = 20.0
 _ROLE = catalogues.CredentialRole
 
@@ -41,7 +41,7 @@
 ) -> catalogues.Catalogue:
     """Returns the demo's catalogue with the credentials of these tests.
 
-    The workspace of ``STRAY_SECRET`` is not in the catalogue.
+    The workspace of ``UNLISTED_WORKSPACE_SECRET`` is not in the catalogue.
     """
     catalogue = codec.decode(demofleet.make_catalogue())
     models, services = dict(catalogue.models), dict(catalogue.services)
@@ -53,7 +53,7 @@
     )
     roles = {
         SECRET: (_ROLE.CALLER, "adwoa/claims"),
-        STRAY_SECRET: (_ROLE.CALLER, "adwoa/closed"),
+        UNLISTED_WORKSPACE_SECRET: (_ROLE.CALLER, "adwoa/closed"),
         OPERATOR_SECRET: (_ROLE.OPERATOR, ""),
     }
     credentials = {
--- a/rhubarblock/daemon/peerdiscovery.py
+++ b/rhubarblock/daemon/peerdiscovery.py
@@ -16,8 +16,9 @@
 
 # Seconds between two attempts to register at the start.
 REGISTER_RETRY_S = 1.0
-# Seconds over which the instances spread the checks of their own records after
-# the store came back from an older copy, and between two attempts of a check.
+# After the store was restored from an older copy: seconds over which the
+# instances spread the checks of their own records, and seconds between two
+# attempts of a check.
 RESTORE_SPREAD_S = 1.0
 RESTORE_RETRY_S = 0.25
 
@@ -48,7 +49,7 @@
         eras: era_lib.EraTracker,
         metrics: metric_store.Metrics,
     ):
-        """Creates a search; ``run`` starts it.
+        """Creates a discovery; ``run`` starts it.
 
         Args:
           settings: settings of this instance.
@@ -56,8 +57,8 @@
           peers: table to which the listed peers are added.
           updates: sends heartbeats to the peers.
           timers: timer service.
-          eras: notifies of a new era, when the store came back from an older
-            copy.
+          eras: notifies of a new era, which begins when the store is restored
+            from an older copy.
           metrics: counts records that were written again.
         """
         self._eras = eras
@@ -78,11 +79,11 @@
         self._timers = timers
 
     async def run(self) -> None:
-        """Registers the instance, adds the listed peers and greets them.
+        """Registers the instance and sends a heartbeat to the listed peers.
 
         Retries until the store answers.
         """
-        await self._greet_listed(await self._register())
+        await self._announce_to_listed(await self._register())
 
     async def _register(self) -> stores.Page:
         """Returns the list once this instance is registered in it."""
@@ -95,17 +96,17 @@
                 _logger.debug("cannot register in the instance list: %s", error)
                 await self._timers.sleep(REGISTER_RETRY_S)
 
-    async def _greet_listed(self, page: stores.Page) -> None:
+    async def _announce_to_listed(self, page: stores.Page) -> None:
         for stored in page.objects:
             self._add_peer(stored)
         await self._updates.send_heartbeat()
 
     async def keep_listed(self) -> None:
-        """Restores the record when the store came back without it.
+        """Writes the record again when a restored store lacks it.
 
-        Runs until it is cancelled. After a restore it sends heartbeats to the
-        listed peers, since one that started meanwhile may not know this
-        instance.
+        Runs until it is cancelled. Afterwards it sends heartbeats to the listed
+        peers, since a peer that started while the record was missing could not
+        find this instance in the list.
         """
         era_changed = asyncio.Event()
         self._eras.add_listener(era_changed.set)
@@ -113,9 +114,9 @@
             await era_changed.wait()
             era_changed.clear()
             await self._timers.sleep(self._compute_delay())
-            await self._restore_record(era_changed)
+            await self._rewrite_record(era_changed)
 
-    async def _restore_record(self, era_changed: asyncio.Event) -> None:
+    async def _rewrite_record(self, era_changed: asyncio.Event) -> None:
         while not era_changed.is_set():
             try:
                 if await self._record.ensure_written():
@@ -124,7 +125,9 @@
                         "own line was lost and is written again",
                         extra={"era": self._eras.current},
                     )
-                    await self._greet_listed(await self._record.register(False))
+                    await self._announce_to_listed(
+                        await self._record.register(False)
+                    )
             except stores.StoreError as error:
                 _logger.info(
                     "cannot check the own record in the instance list",
--- a/rhubarblock/daemon/plannedstop.py
+++ b/rhubarblock/daemon/plannedstop.py
@@ -59,9 +59,9 @@
         self._timers = timers
 
     async def run(self) -> None:
-        """Returns once all requests are answered or the time is over.
+        """Returns once all requests are answered, or at the deadline.
 
-        The time is the grace period less ``EXIT_RESERVE_S``.
+        The deadline is the end of the grace period less ``EXIT_RESERVE_S``.
 
         Idle connections are closed once the load balancer has noticed the stop;
         otherwise a caller could send a request on one of them too late for it
@@ -86,8 +86,8 @@
                 "requests cut", extra={"count": self._lifecycle.in_flight}
             )
         self._log_connections("closing connections")
-        # Cancels the remaining handlers early enough for them to release what
-        # they hold at other processes.
+        # Cancels the remaining handlers early enough for them to release their
+        # resources at other processes.
         self._callers.abort()
         self._log_lifecycle(self._lifecycle.mark_stopped)
 
--- a/rhubarblock/daemon/plannedstop_test.py
+++ b/rhubarblock/daemon/plannedstop_test.py
@@ -249,7 +249,8 @@
         await plannedstop.PlannedStop(
             "i1", lifecycle, listener, grace_s, timer_service.LoopTimers()
         ).run()
-        # The cancelled handler releases what it holds before the process exits.
+        # The cancelled handler releases its resources before the process
+        # exits.
         await asyncio.sleep(0.01)
         return (
             asyncio.get_running_loop().time(),
--- a/rhubarblock/daemon/server.py
+++ b/rhubarblock/daemon/server.py
@@ -89,13 +89,13 @@
     incarnation: int,
     timers: timer_service.Timers,
 ) -> contextlib.AbstractAsyncContextManager[grpcpeers.GrpcPeers]:
-    keys = settings.peers
+    peers = settings.peers
     tls = None
-    if keys.secure:
+    if peers.secure:
         tls = peertls.TlsFiles(
-            pathlib.Path(keys.certificate),
-            pathlib.Path(keys.key),
-            pathlib.Path(keys.authority),
+            pathlib.Path(peers.certificate),
+            pathlib.Path(peers.key),
+            pathlib.Path(peers.authority),
         )
     identity = grpcpeers.PeerIdentity(settings.instance.id, incarnation)
     listen = str(settings.instance.peer_listen)
--- a/rhubarblock/daemon/server_test.py
+++ b/rhubarblock/daemon/server_test.py
@@ -171,13 +171,13 @@
             loopback.run_fleet() as fleet,
             serve_until_sigterm(loopback.make_settings(1, fleet.url)) as (
                 daemon,
-                leaving,
+                stopping,
             ),
         ):
-            both = [leaving, fleet.address]
+            both = [stopping, fleet.address]
             fleet.desk.faults.slow_s = 0.3
             running = [
-                asyncio.ensure_future(loopback.exchange(leaving, data))
+                asyncio.ensure_future(loopback.exchange(stopping, data))
                 for data in [streamed, unary] * 6
             ]
             for number in range(4):
@@ -187,9 +187,9 @@
                     Idempotency_Key=f"booking-{number}",
                 )
                 running.append(
-                    asyncio.ensure_future(loopback.exchange(leaving, data))
+                    asyncio.ensure_future(loopback.exchange(stopping, data))
                 )
-            late = asyncio.ensure_future(upload(leaving, unary))
+            late = asyncio.ensure_future(upload(stopping, unary))
             await loopback.wait_until(lambda: len(fleet.engine.kv_held()) == 12)
             os.kill(os.getpid(), signal.SIGTERM)
             for _ in range(20):
--- a/rhubarblock/loganalysis/causes.py
+++ b/rhubarblock/loganalysis/causes.py
@@ -25,7 +25,15 @@
 
 
 class Kind(enum.Enum):
-    """How a request was lost."""
+    """How a request was lost.
+
+    LATE: it was served, but its first event or a pause took too long.
+    REFUSED: it failed, and the verdict is that it did not run.
+    FAILED: it failed without a response, or its end is not logged.
+    CUT: its response was interrupted, or its instance was lost.
+    MOVED: it was served in time, but an earlier attempt was abandoned because
+      its endpoint was busy.
+    """
 
     LATE = "late"
     REFUSED = "refused"
@@ -35,7 +43,20 @@
 
 
 class Cause(enum.Enum):
-    """Why a request was lost."""
+    """Why a request was lost.
+
+    RATE_LIMITED: the endpoints' rate limits were exhausted.
+    RESTING: the endpoints were in a cool-down that they had asked for.
+    OVERTAKEN: the prefill of a later prompt on the same engines delayed the
+      first event.
+    PAUSED: the prefill of another prompt on the same engine interrupted the
+      decode.
+    SLOW: the first event was later than predicted, without a visible reason.
+    NO_BETTER_PLACE: the delay was predicted; no faster engine was available.
+    NOT_CONFIRMED: the instance had no configuration with a valid lease.
+    CALLER_GONE: the caller disconnected, or the end of the request is not
+      logged.
+    """
 
     NO_CONNECTION = "no connection could be opened"
     ENGINE_REFUSED = "an engine refused it"
--- a/rhubarblock/scripts/measure.py
+++ b/rhubarblock/scripts/measure.py
@@ -235,14 +235,14 @@
     store_variants: tuple[str, ...],
     seed: int,
 ) -> None:
-    """Compares ways to rewrite the lines that an older store has lost.
+    """Compares ways to rewrite the records that a restored store lacks.
 
-    The store returns with an older state. Prints a table.
+    The store is restored from an older copy. Prints a table.
     """
     results = [
-        storereturn.measure(way, size, lines, store, seed)
+        storereturn.measure(way, size, variant, store, seed)
         for store in store_variants
-        for lines in variants
+        for variant in variants
         for size in sizes
         for way in chosen_ways
     ]
@@ -272,7 +272,7 @@
 def admission_command(
     policy: str, seed: int, load: float, as_json: bool
 ) -> None:
-    """Measures whether refusals for the deadline were correct."""
+    """Measures whether requests were refused correctly for their deadline."""
     print_result(admission.measure(policy, seed, load), as_json)
 
 
@@ -290,7 +290,7 @@
 def limits_command(
     policy: str, seed: int, load: float, instances: int, as_json: bool
 ) -> None:
-    """Limits over all instances: overuse, lending, partition, crashes."""
+    """Measures fleet-wide limits: overuse, lending, partition, crashes."""
     figures = limits.measure(seed, load, policy, instances)
     print_result(figures, as_json)
 
@@ -299,7 +299,10 @@
 @seed_option
 @json_option
 def quarantine_command(seed: int, as_json: bool) -> None:
-    """Quarantine of a request that crashes endpoints and is retried at once."""
+    """Measures the quarantine of a request that crashes endpoints.
+
+    Its caller retries it at once.
+    """
     print_result(quarantine.measure(seed), as_json)
 
 
@@ -308,7 +311,10 @@
 @load_option
 @json_option
 def retry_storm_command(seed: int, load: float, as_json: bool) -> None:
-    """Half the endpoints die: attempts with and without a retry budget."""
+    """Counts attempts with and without a retry budget.
+
+    Half the endpoints fail.
+    """
     print_result(retrystorm.measure(seed, load), as_json)
 
 
@@ -329,7 +335,7 @@
 def fleet_command(
     seed: int, instances: int, sockets: bool, as_json: bool
 ) -> None:
-    """Configuration, membership, endpoints and orders under failures."""
+    """Measures configuration, membership, endpoints and orders in faults."""
     if sockets:
         measured = asyncio.run(fleetsockets.measure(instances, seed))
         print_result(measured, as_json)
--- a/rhubarblock/scripts/measurecosts.py
+++ b/rhubarblock/scripts/measurecosts.py
@@ -107,8 +107,9 @@
 
     Args:
       platform: URL of the platform, whose instance list names the engines.
-      present: address and process id of the present instance.
-      earlier: address and process id of the instance that runs the earlier way.
+      present: address and process id of the instance with the present relay.
+      earlier: address and process id of the baseline instance, which parses
+        every event.
     """
     async with aiohttp.ClientSession() as session:
         source = instances.HttpInstanceSource(session, platform)
--- a/rhubarblock/scripts/standin.py
+++ b/rhubarblock/scripts/standin.py
@@ -32,7 +32,7 @@
     "--platform", "url", help="Platform in whose list to appear."
 )
 _id_option = click.option("--id", "name", required=True)
-_service_option = click.option("--service", "pool", required=True)
+_service_option = click.option("--service", "service_name", required=True)
 _data_centre_option = click.option("--data-centre", required=True)
 
 
@@ -82,7 +82,7 @@
     port: int,
     seed: int,
     name: str,
-    pool: str,
+    service_name: str,
     data_centre: str,
     url: str | None,
     role: str,
@@ -106,7 +106,7 @@
                 name,
                 address,
                 data_centre,
-                pool,
+                service_name,
                 instances.InstanceKind.ENGINE,
             )
             async with _register(url, listed):
@@ -126,7 +126,7 @@
     host: str,
     port: int,
     name: str,
-    pool: str,
+    service_name: str,
     data_centre: str,
     url: str | None,
 ) -> None:
@@ -141,7 +141,7 @@
                 name,
                 address,
                 data_centre,
-                pool,
+                service_name,
                 instances.InstanceKind.SERVICE,
             )
             async with _register(url, listed):
