--- a/rhubarblock/store/store.py
+++ b/rhubarblock/store/store.py
@@ -2,7 +2,7 @@
 
 An object is named ``kind/name``, holds bytes up to a megabyte and has a
 version, the position of its last write in the store's history. The protocol is
-described in docs/standins.md.
+described in docs/standins-platform.md.
 """
 
 import abc
