--- a/features/conftest.py
+++ b/features/conftest.py
@@ -159,7 +159,7 @@
     assert all(caller.has_own_prefix for caller in world.callers.values())
 
 
-@then("each has ended within its time")
+@then("each has ended by its deadline")
 def check_deadlines(world):
     world.finish()
     for caller in world.callers.values():
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -10,7 +10,7 @@
     Then all have whole answers, each only its own
     And nobody was refused
     And no engine holds memory for a caller
-    And the other instances know that it left
+    And the other instances no longer list it as live
 
   Scenario: A request during the stop is refused at once and served elsewhere
     Given a fleet over two data centres
--- a/features/planned_stop_test.py
+++ b/features/planned_stop_test.py
@@ -69,7 +69,7 @@
     assert not any(caller.refused for caller in world.callers.values())
 
 
-@then("the other instances know that it left")
+@then("the other instances no longer list it as live")
 def check_left(world):
     for node in world.fleet.nodes:
         live = node.instance.membership.list_live_instances()
--- a/features/time.feature
+++ b/features/time.feature
@@ -8,7 +8,7 @@
     And Steyr has the beginning of the answer
     And the engine <trouble>
     And all have ended
-    Then each has ended within its time
+    Then each has ended by its deadline
     And no caller has a piece of another answer
     And no request with the verdict NOT_RUN has run
 
@@ -25,7 +25,7 @@
     When <part>
     And 20 prompts of both institutions arrive over 2 seconds
     And all have ended
-    Then each has ended within its time
+    Then each has ended by its deadline
     And no request with the verdict NOT_RUN has run
     And <share> of them were answered
 
--- a/rhubarblock/standins/engine/imports.py
+++ b/rhubarblock/standins/engine/imports.py
@@ -27,7 +27,7 @@
         on_failure: _FailureCallback,
         on_resume: Callable[[], None],
     ):
-        """Creates the importer of one start of an engine.
+        """Creates the importer of one run of an engine.
 
         Args:
           transport: returns the transport that reads the exports of other
--- a/rhubarblock/standins/engine/passes.py
+++ b/rhubarblock/standins/engine/passes.py
@@ -4,17 +4,18 @@
 between the steps, so that prefill delays the decoding requests. Prompts may be
 prefilled in parts. The part that arrived last is prefilled first, whether it is
 for another engine or for a prompt of this one; an engine that decodes nothing
-chooses the part anew after each chunk. It runs on the clock of the event loop,
-so a simulation on the virtual loop takes little real time.
+chooses the part again after each chunk. The model runs on the clock of the
+event loop, so a simulation on the virtual loop takes little real time.
 
-Last in, first out is the order that predicts the users' platform best: it
-predicts the first events of long prompts more closely than first in, first out,
-than shortest first, and than parts for other engines first.
+Last in, first out is the order that predicts the users' platform best: in a
+replay of its placements it predicts the first events of prompts over 110,000
+tokens more closely than first in, first out, than shortest first, and than
+parts for other engines first.
 
 Not modelled: the cost that parts held by other engines add to each step of the
-first engine, the memory that these parts reserve, the eviction of a request
-when memory runs out (a prompt waits for memory instead), crashes and the lag
-of load reports.
+engine that decodes, the memory that these parts reserve, the eviction of a
+request when memory runs out (a prompt waits for memory instead), crashes and
+the lag of load reports.
 """
 
 import asyncio
--- a/rhubarblock/standins/engine/request.py
+++ b/rhubarblock/standins/engine/request.py
@@ -49,7 +49,7 @@
       sources_read_s: earliest time at which sources that are read in windows
         have been read completely.
       stalled_sources: number of sources whose engine is paused.
-      started: whether any of it was computed.
+      started: whether its first prefill chunk or its decode was scheduled.
     """
 
     __slots__ = (
--- a/rhubarblock/standins/engine/run.py
+++ b/rhubarblock/standins/engine/run.py
@@ -23,8 +23,9 @@
 
 _Phase = enginerequest.Phase
 
-# If the machine is late, an iteration is planned from the intended end of the
-# previous one, but at most this long ago.
+# Longest delay that the next iteration catches up. It is planned from the
+# planned end of the previous one, so that a slow machine does not slow down the
+# engine, but from no earlier than this long ago.
 _MAX_CATCH_UP_S = 0.05
 
 
--- a/rhubarblock/standins/memoryfleet.py
+++ b/rhubarblock/standins/memoryfleet.py
@@ -73,7 +73,7 @@
         """Creates a fleet without instances.
 
         Args:
-          seed: seed of everything random.
+          seed: seed of all random numbers.
           loss: probability that a message is lost.
           settings: settings of membership, or None for the defaults.
         """
@@ -175,7 +175,7 @@
     """Yields an empty fleet whose instances are killed with the context.
 
     Args:
-      seed: seed of everything random.
+      seed: seed of all random numbers.
       loss: probability that a message is lost.
 
     Yields:
--- a/rhubarblock/standins/memorypeers.py
+++ b/rhubarblock/standins/memorypeers.py
@@ -261,7 +261,7 @@
         try:
             return await handler(sender, payload)
         except Exception:
-            # As with gRPC, the caller only gets to know that the call failed.
+            # As with gRPC, the caller gets an error without the reason.
             _logger.debug("handler of %s failed", kind, exc_info=True)
             return None
 
--- a/rhubarblock/standins/platform/faults.py
+++ b/rhubarblock/standins/platform/faults.py
@@ -78,7 +78,7 @@
         self._disconnected.add(client_id)
 
     def join(self, client_id: str) -> None:
-        """Reconnects a client; closes its watches that missed events."""
+        """Reconnects a client and closes the watches that missed events."""
         self._disconnected.discard(client_id)
         self._notify_listeners()
 
--- a/rhubarblock/standins/platform/store.py
+++ b/rhubarblock/standins/platform/store.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's object API, in memory.
 
 It has the guarantees of the platform (versions, conditional writes, watches)
-and its limits (rates, sizes, latency), and violates them only as the faults
-that are switched on demand.
+and its limits (rates, sizes, latency), and violates them only through the
+faults that are switched on.
 """
 
 import collections
@@ -105,11 +105,11 @@
         return Connection(self, client_id)
 
     def take_write(self) -> bool:
-        """Takes a write from the limit of all clients; returns if allowed."""
+        """Takes a write from the shared limit; returns if it is allowed."""
         return self._writes.take()
 
     def take_read(self) -> bool:
-        """Takes a read from the limit of all clients; returns if allowed."""
+        """Takes a read from the shared limit; returns if it is allowed."""
         return self._reads.take()
 
     def reserve_watch_reads(self, calls_per_s: float) -> None:
--- a/rhubarblock/standins/service.py
+++ b/rhubarblock/standins/service.py
@@ -103,7 +103,8 @@
       cross_next: number of next answers to swap in pairs.
       slow_s: seconds added to each run.
       late_s: seconds between the run and its answer.
-      crash_marker: marker in a body that kills the endpoint.
+      crash_marker: a body that contains it kills the endpoint before the call
+        runs; empty matches no body.
     """
 
     dead: bool = False
--- a/rhubarblock/standins/serviceserver_test.py
+++ b/rhubarblock/standins/serviceserver_test.py
@@ -71,8 +71,8 @@
 def test_each_fault_has_its_verdict(method, fault, verdict, runs) -> None:
     async def main() -> None:
         async with run_endpoint() as (endpoint, client, address):
-            # The first call opens a connection: the HTTP library could only
-            # repeat a call on its own if it reuses a connection.
+            # The HTTP library resends a call on its own only on a reused
+            # connection, so an earlier call opens one.
             warm_up = make_call(key=None, method=method)
             await client.send(address, warm_up, "r0/1")
             for name, value in fault.items():
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -18,8 +18,8 @@
 def read_layers() -> dict[str, int]:
     """Returns the layer of each package; 0 is the lowest."""
     text = (ROOT / "pyproject.toml").read_text()
-    layers = tomllib.loads(text)["tool"]["rhubarblock"]["layers"]
-    return {name: height for height, name in enumerate(reversed(layers))}
+    packages = tomllib.loads(text)["tool"]["rhubarblock"]["layers"]
+    return {name: layer for layer, name in enumerate(reversed(packages))}
 
 
 def find_package(module: str) -> str:
@@ -28,7 +28,7 @@
     return parts[1] if len(parts) > 1 else ""
 
 
-def find_faults(heights: dict[str, int]) -> list[str]:
+def find_faults(layers: dict[str, int]) -> list[str]:
     """Returns a message for each import from a higher layer."""
     graph = grimp.build_graph(PACKAGE, cache_dir=None)
     faults = []
@@ -36,14 +36,14 @@
         package = find_package(module)
         if not package or module.endswith("_test"):
             continue
-        if package not in heights:
+        if package not in layers:
             faults.append(f"{module}: package {package} has no layer")
             continue
         for imported in sorted(graph.find_modules_directly_imported_by(module)):
             imported_package = find_package(imported)
             if (
                 imported_package
-                and heights.get(imported_package, -1) > heights[package]
+                and layers.get(imported_package, -1) > layers[package]
             ):
                 faults.append(f"{module} imports {imported}")
     return faults
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -118,7 +118,7 @@
 
     Args:
       sent: the request.
-      headers: headers of the answer; names match in any case.
+      headers: headers of the answer; their names are case-insensitive.
       body: its body.
     """
     if headers.get(names.ATTEMPT_ID) != sent.request_id:
--- a/tools/soak/cooldownwatch.py
+++ b/tools/soak/cooldownwatch.py
@@ -1,4 +1,4 @@
-"""Checks that instances keep the cool-downs that endpoints ask for."""
+"""Checks that instances respect the cool-downs that endpoints ask for."""
 
 import dataclasses
 
@@ -45,7 +45,10 @@
         cooldowns.append(Cooldown(now_s, now_s + retry_after_s))
 
     def note_arrival(self, request_id: str, proxy: proxies.SoakProxy) -> None:
-        """Records a request, and checks whether its process keeps cool-downs.
+        """Records a request, and checks that it respects the cool-downs.
+
+        Cool-downs since which the process or the proxy was disturbed are
+        dropped.
 
         Args:
           request_id: its id.
--- a/tools/soak/engines.py
+++ b/tools/soak/engines.py
@@ -26,11 +26,11 @@
 # and its end.
 DRAIN_S = 2.5
 # Longest time in seconds from the moment at which an endpoint announces in its
-# answers that it leaves until it writes its entry.
+# answers that it leaves until it first tries to write its entry.
 MAX_LISTING_DELAY_S = 2.0
 # Seconds between two checks of whether the store accepts writes.
 LISTING_RETRY_S = 0.1
-# Share of the restarts after a crash that get a new id; the others keep theirs.
+# Share of the restarts after a crash that get a new id; the others keep the id.
 NEW_ID_SHARE = 0.5
 
 
@@ -39,7 +39,10 @@
 
     Attributes:
       service: the service that it belongs to.
-      mode: injected fault or kind of end; empty is healthy operation.
+      mode: empty in normal operation. The faults are ``shed`` (refuses all
+        requests), ``lose`` (resets some connections), ``hang`` (delays the
+        events of streams) and ``rest`` (refuses all requests and asks for a
+        cool-down); ``crash`` and ``drain`` end the run.
       retry_after_s: the cool-down in seconds that it asks for in the mode
         ``rest``.
       proxy: the proxy through which instances reach it.
@@ -76,7 +79,7 @@
         self._announced_leaving = True
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Starts again and again until `stop` is set."""
+        """Runs the endpoint again and again until `stop` is set."""
         while not stop.is_set():
             if self._rng.random() < NEW_ID_SHARE or self._announced_leaving:
                 self.id = f"i-{self._rng.getrandbits(32):08x}"
@@ -116,9 +119,9 @@
         self._ended.set()
 
     async def _drain(self) -> None:
-        """Announces that it leaves, and serves on for a while.
+        """Announces that it leaves, and continues to serve for a while.
 
-        Its answers say so first, its entry later.
+        Its answers announce it first, its entry later.
         """
         self._announced_leaving = True
         await asyncio.sleep(self._rng.uniform(0.0, MAX_LISTING_DELAY_S))
--- a/tools/soak/evidence.py
+++ b/tools/soak/evidence.py
@@ -55,8 +55,8 @@
         limit to a caller, by the id of the announcement and the process id.
       leaving_forwarded_s: when a process first forwarded that an endpoint
         leaves, by the endpoint's id and the process id.
-      disturbed_s: when a process was last frozen, by its id; infinite while it
-        is.
+      disturbed_s: when a process last resumed after a freeze, by its id;
+        infinite while it is frozen.
       stop_signalled_s: when a process got the signal of a planned stop, by its
         id.
       drain_listed_s: when the store acknowledged that an endpoint is draining,
@@ -176,7 +176,7 @@
     ) -> float | None:
         """Returns when the sender of a request first forwarded a rate limit.
 
-        None if it has not forwarded the limit, or was frozen recently.
+        None if it has not forwarded the limit, or is or was frozen recently.
         """
         sent = self.sent.get(request_id)
         if sent is None:
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -12,7 +12,8 @@
 from tools.soak import evidence as evidences
 
 # Seconds after the stop signal in which an instance still gets new connections:
-# a load balancer that probes once a second needs two failed probes.
+# a load balancer that probes once a second notices the stop only after two
+# failed probes.
 BALANCER_DELAY_S = 2.0
 
 SETTINGS = """\
--- a/tools/soak/keepalivecallers.py
+++ b/tools/soak/keepalivecallers.py
@@ -1,7 +1,7 @@
 """Callers that reuse one connection until their instance closes it.
 
-A load balancer opens no new connections to an instance that leaves, but a
-caller with an open one goes on using it until it is closed.
+A load balancer opens no new connections to an instance that is stopping, but a
+caller with an open connection uses it until it is closed.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 # Mean seconds between an answer and the next request of a busy caller.
 BUSY_INTERVAL_S = 0.15
 # Share of the callers that idle between two requests, and for how many seconds.
-# An instance that leaves closes a connection with its next answer, so only the
-# idle callers still have a connection when it closes the remaining ones.
+# A stopping instance closes a connection with its next answer, so only the idle
+# callers still have a connection when it closes the remaining ones.
 IDLE_SHARE = 0.7
 IDLE_INTERVAL_S = 1.5
 # Seconds after the stop signal between which idle callers send their next
@@ -122,8 +122,9 @@
     ) -> bool:
         """Whether a stopping instance may have closed the connection unread.
 
-        It may if the connection was idle and closed at once. An instance that
-        closes it later has read the request and must answer it.
+        It may if the connection was idle, the request was sent after the load
+        balancer had noticed the stop, and the connection closed at once. An
+        instance that closes it later has read the request and must answer it.
         """
         stop_signalled_s = self._evidence.stop_signalled_s.get(sent.process_id)
         if stop_signalled_s is None or connection.closed_s is None:
--- a/tools/soak/leavewatch.py
+++ b/tools/soak/leavewatch.py
@@ -24,8 +24,9 @@
 ) -> None:
     """Checks that a process sends nothing new to an endpoint that leaves.
 
-    The check begins once the process has forwarded the announcement to a
-    caller, and so must know it.
+    The check applies once the process has forwarded the announcement to a
+    caller, which shows that it has received it. Processes that were frozen
+    since are exempt.
     """
     sent = evidence.sent.get(request_id)
     if sent is None:
--- a/tools/soak/ratewatch.py
+++ b/tools/soak/ratewatch.py
@@ -1,19 +1,19 @@
-"""Checks that instances keep the rate limits that endpoints announce."""
+"""Checks that instances respect the rate limits that endpoints announce."""
 
 import collections
 
 from tools.soak import evidence as evidences
 
-# Seconds after an endpoint announces another limit from which on instances must
-# keep it.
+# Seconds after an endpoint announces another limit until instances must respect
+# it.
 SETTLING_S = 3.0
 # Seconds of the sliding window in which requests are counted. A window may have
 # the requests that the limit allows times a factor, and a few more.
 WINDOW_S = 4.0
 ALLOWED_FACTOR = 1.5
 ALLOWED_EXTRA = 5
-# Seconds after an instance first forwarded the limit from which on its requests
-# are counted.
+# Seconds after an instance first forwarded the limit until its requests are
+# counted.
 PROPAGATION_S = 0.5
 # Seconds after a proxy's fault in which the requests that it held back may
 # arrive together.
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -400,25 +400,25 @@
 @click.option(
     "--again",
     type=click.Path(path_type=pathlib.Path),
-    help="file of seeds that once broke a rule; they are played first",
+    help="file of seeds that once violated an invariant; they run first",
 )
 @click.option("--seconds", default=12.0, help="length of the faults")
 def main(seeds: str, again: pathlib.Path | None, seconds: float) -> None:
-    """Runs seeds and prints the rules that each broke."""
+    """Runs seeds and prints the violations of each."""
     # SIGTERM acts as an interrupt, so that the soak ends all its processes.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     failed_seeds = 0
     for seed in [*read_seeds(again), *parse_seeds(seeds)]:
-        seen = asyncio.run(run_seed(seed, seconds))
-        served = seen.count(200)
+        evidence = asyncio.run(run_seed(seed, seconds))
+        served = evidence.count(200)
         click.echo(
-            f"seed {seed}: {len(seen.sent)} sent, {served} served, "
-            f"{len(seen.violations)} rules broken; the soak stood still for "
-            f"{seen.max_stall_s:.2f} s at most"
+            f"seed {seed}: {len(evidence.sent)} sent, {served} served, "
+            f"{len(evidence.violations)} violations; the event loop of the "
+            f"soak stalled for {evidence.max_stall_s:.2f} s at most"
         )
-        for violation in seen.violations:
+        for violation in evidence.violations:
             click.echo(f"  {violation}")
-        failed_seeds += bool(seen.violations)
+        failed_seeds += bool(evidence.violations)
     sys.exit(1 if failed_seeds else 0)
 
 
--- a/tools/soak/wire.py
+++ b/tools/soak/wire.py
@@ -19,7 +19,7 @@
 
     Attributes:
       status: its status code.
-      headers: its headers; names match in any case.
+      headers: its headers; their names are case-insensitive.
       body: its body, without the framing of chunks.
     """
 
