--- a/rhubarblock/daemon/holders.py
+++ b/rhubarblock/daemon/holders.py
@@ -4,7 +4,7 @@
 views disagree two may hold one duty, which each subsystem bears.
 """
 
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.fleet.membership import view as memberview
 from rhubarblock.routing.lending import lender as lending
@@ -23,7 +23,7 @@
     def choose(self, duty: str) -> members.Member:
         """Returns the live instance that holds a duty; this one if alone."""
         alive = self._members.live_instances()
-        return duties.choose_coordinator(duty, alive) or self._members.own
+        return assignment.choose_coordinator(duty, alive) or self._members.own
 
     def count_instances(self) -> int:
         """Returns the number of live instances."""
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -23,7 +23,7 @@
 from rhubarblock.daemon import outside as outsides
 from rhubarblock.daemon import promptparts
 from rhubarblock.fleet import distribution
-from rhubarblock.fleet import endpointnews
+from rhubarblock.fleet import endpointnotices
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import listrelay
 from rhubarblock.fleet import orders
@@ -280,7 +280,7 @@
             outside.timers,
             self.holders.coordinates,
         )
-        self.news = endpointnews.EndpointNews(
+        self.news = endpointnotices.EndpointNotices(
             states,
             self.membership,
             port.transport,
--- a/rhubarblock/experiments/capacity/platform.py
+++ b/rhubarblock/experiments/capacity/platform.py
@@ -12,7 +12,7 @@
 from rhubarblock.experiments.capacity import meter as capacitymeter
 from rhubarblock.experiments.capacity import probe as capacityprobe
 from rhubarblock.experiments.capacity import routing as capacityrouting
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import orders
 from rhubarblock.kernel import timers as timer_service
@@ -215,7 +215,7 @@
         ]
 
         def find(duty: str) -> str | None:
-            chosen = duties.choose_coordinator(duty, alive)
+            chosen = assignment.choose_coordinator(duty, alive)
             return chosen.address if chosen else None
 
         async with contextlib.AsyncExitStack() as stack:
--- a/rhubarblock/experiments/capacity/routing.py
+++ b/rhubarblock/experiments/capacity/routing.py
@@ -12,7 +12,7 @@
 from rhubarblock.experiments.capacity import fleet as capacityfleet
 from rhubarblock.experiments.capacity import meter as capacitymeter
 from rhubarblock.experiments.capacity import probe as capacityprobe
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.kernel import metrics as metric_store
 from rhubarblock.kernel import timers as timer_service
@@ -171,7 +171,7 @@
     holders = frozenset(member.instance_id for member in alive)
 
     def find(duty: str) -> lending.Coordinator | None:
-        chosen = duties.choose_coordinator(duty, alive)
+        chosen = assignment.choose_coordinator(duty, alive)
         assert chosen is not None
         return lending.Coordinator(chosen.instance_id, chosen.address)
 
--- a/rhubarblock/experiments/fleetbench.py
+++ b/rhubarblock/experiments/fleetbench.py
@@ -16,7 +16,7 @@
 from rhubarblock.core import failure as failures
 from rhubarblock.core import position as positions
 from rhubarblock.fleet import distribution
-from rhubarblock.fleet import endpointnews
+from rhubarblock.fleet import endpointnotices
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import listrelay
 from rhubarblock.fleet import orders
@@ -113,7 +113,7 @@
             node.membership, node.peers, node.store, node.timers, node.rng
         )
         self.table = endpointtables.EndpointTable(node.timers)
-        self.news = endpointnews.EndpointNews(
+        self.news = endpointnotices.EndpointNotices(
             self.table, node.membership, node.peers, node.timers, node.rng
         )
         self.orders = orders.OrderService(
--- a/rhubarblock/experiments/limits/fleet.py
+++ b/rhubarblock/experiments/limits/fleet.py
@@ -11,7 +11,7 @@
 import random
 
 from rhubarblock.core import catalogue as catalogues
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.kernel import timers as timers_lib
 from rhubarblock.routing import limits as limiters
@@ -132,7 +132,7 @@
         lender = self.live_nodes[0].lender
         assert lender is not None
         duty = lender.find_duty(key)
-        chosen = duties.choose_coordinator(
+        chosen = assignment.choose_coordinator(
             duty, [node.member for node in self.live_nodes]
         )
         return next(node for node in self.nodes if node.member is chosen)
@@ -161,7 +161,9 @@
         holders = lendingholders.ShareHolders(self._timers, self._list_members)
 
         def find(duty: str) -> lending.Coordinator | None:
-            chosen = duties.choose_coordinator(duty, self._list_live(member))
+            chosen = assignment.choose_coordinator(
+                duty, self._list_live(member)
+            )
             assert chosen is not None
             return lending.Coordinator(chosen.instance_id, chosen.address)
 
--- a/rhubarblock/fleet/distribution.py
+++ b/rhubarblock/fleet/distribution.py
@@ -23,8 +23,8 @@
 from rhubarblock.catalogue import codec
 from rhubarblock.core import catalogue as catalogues
 from rhubarblock.core import position as positions
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import distribution_pb2
-from rhubarblock.fleet import duties
 from rhubarblock.fleet import peertransport
 from rhubarblock.fleet.membership import member as members
 from rhubarblock.fleet.membership import membership as memberships
@@ -222,7 +222,7 @@
     def is_watcher(self) -> bool:
         """Says whether it is among those that watch the platform."""
         own = self._membership.own
-        watchers = duties.choose_subset(
+        watchers = assignment.choose_subset(
             f"catalogue/watch/{own.data_centre}",
             self._membership.live_instances(own.data_centre),
             self._settings.watchers,
@@ -311,7 +311,7 @@
         own = self._membership.own
         live = self._membership.live_instances(own.data_centre)
         key = f"catalogue/tree/{self.revision}"
-        return duties.choose_subset(key, live, len(live))
+        return assignment.choose_subset(key, live, len(live))
 
     async def _send_notice(
         self, receiver: members.Member, revision: int
--- a/rhubarblock/fleet/endpointnews.py
+++ b/rhubarblock/fleet/endpointnotices.py
@@ -31,7 +31,7 @@
 _MS_PER_S = 1000
 
 
-class EndpointNews:
+class EndpointNotices:
     """Keeps the drains, and tells and hears of endpoints."""
 
     __slots__ = (
@@ -104,7 +104,7 @@
         return self._record is not None and await self._record.keep(drain)
 
     @contextlib.asynccontextmanager
-    async def run(self) -> AsyncIterator["EndpointNews"]:
+    async def run(self) -> AsyncIterator["EndpointNotices"]:
         """Follows the drains while the context is open.
 
         Yields:
--- a/rhubarblock/fleet/listrelay.py
+++ b/rhubarblock/fleet/listrelay.py
@@ -13,7 +13,7 @@
 
 from google.protobuf import message as protobuf_message
 
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import listrelay_pb2
 from rhubarblock.fleet import peertransport
 from rhubarblock.fleet.membership import member as members
@@ -120,7 +120,7 @@
 
     def _choose_readers(self) -> list[members.Member]:
         own = self._membership.own
-        return duties.choose_subset(
+        return assignment.choose_subset(
             f"instances/read/{own.data_centre}",
             self._membership.live_instances(own.data_centre),
             READERS,
--- a/rhubarblock/fleet/membership/view.py
+++ b/rhubarblock/fleet/membership/view.py
@@ -11,7 +11,7 @@
 import dataclasses
 import logging
 
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import reachability
 from rhubarblock.fleet import softstate
 from rhubarblock.fleet.membership import member as members
@@ -148,10 +148,12 @@
         """Returns the instances that talk for a data centre."""
         chosen = self._representatives.get(data_centre)
         if chosen is None:
-            chosen = self._representatives[data_centre] = duties.choose_subset(
-                _REPRESENTATIVES_KEY,
-                self.list_alive(data_centre),
-                REPRESENTATIVES,
+            chosen = self._representatives[data_centre] = (
+                assignment.choose_subset(
+                    _REPRESENTATIVES_KEY,
+                    self.list_alive(data_centre),
+                    REPRESENTATIVES,
+                )
             )
         return list(chosen)
 
--- a/rhubarblock/fleet/orders.py
+++ b/rhubarblock/fleet/orders.py
@@ -13,7 +13,7 @@
 
 from rhubarblock.core import catalogue as catalogues
 from rhubarblock.core import endpoint as endpoints
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import engineclient
 from rhubarblock.fleet import enginework
@@ -137,7 +137,7 @@
 
     def _is_due(self, service: str) -> bool:
         own = self._membership.own
-        chosen = duties.choose_coordinator(
+        chosen = assignment.choose_coordinator(
             f"orders/{own.data_centre}/{service}",
             self._membership.live_instances(own.data_centre),
         )
--- a/rhubarblock/fleet/orphans.py
+++ b/rhubarblock/fleet/orphans.py
@@ -14,7 +14,7 @@
 from rhubarblock.core import attemptid
 from rhubarblock.core import endpoint as endpoints
 from rhubarblock.core import failure as failures
-from rhubarblock.fleet import duties
+from rhubarblock.fleet import assignment
 from rhubarblock.fleet import endpoints as endpointtables
 from rhubarblock.fleet import engineclient
 from rhubarblock.fleet.membership import member as members
@@ -139,7 +139,7 @@
 
     def _coordinates(self, endpoint: endpoints.Endpoint) -> bool:
         """Says whether this instance answers for the orphans of an engine."""
-        chosen = duties.choose_coordinator(
+        chosen = assignment.choose_coordinator(
             f"endpoint/{endpoint.endpoint_id}", self._members.live_instances()
         )
         return chosen is None or chosen.instance_id == self._own.instance_id
