--- a/rhubarblock/experiments/__init__.py
+++ b/rhubarblock/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiment tool: scenarios, runs, reports."""
+"""Load scenarios and experiments, and reports of their results."""
--- a/rhubarblock/experiments/capacity/__init__.py
+++ b/rhubarblock/experiments/capacity/__init__.py
@@ -1,6 +1,7 @@
-"""The measurement ``capacity``: slopes of what control costs, by role.
+"""The measurement ``capacity``: scaling of the control cost of each role.
 
-Others use ``measurement`` and ``page``. Read on in ``probe`` and ``roles``,
-then in the probes: ``fleet``, ``lists``, ``platform``, ``routing``,
-``sockets`` and ``whole``; ``meter`` reads what they cost.
+``measurement`` and ``page`` are the interface to other packages. ``probe`` has
+the base class of all probes and ``roles`` the target size. The probes are in
+``fleet``, ``lists``, ``platform``, ``routing``, ``sockets`` and ``instance``;
+``meter`` reads what they cost.
 """
--- a/rhubarblock/experiments/capacity/fleet.py
+++ b/rhubarblock/experiments/capacity/fleet.py
@@ -18,7 +18,7 @@
 
 DATA_CENTRE = "osu-hall"
 OWNER = "operators"
-# Virtual seconds until the instances know each other, and that are measured.
+# Virtual seconds until the instances know each other, and of the measured run.
 SETTLE_S = 6.0
 RUN_S = 20.0
 
@@ -26,10 +26,10 @@
 def make_catalogue(
     revision: int, workspaces: int, models: int
 ) -> catalogues.Catalogue:
-    """Returns a catalogue of a certain size.
+    """Returns a catalogue of a given size.
 
-    Each workspace has a credential, each model an engine service of its own,
-    and ten workspaces share an institution.
+    Each workspace has a credential, each model has its own engine service, and
+    ten workspaces share an institution.
 
     Args:
       revision: its revision.
@@ -91,7 +91,7 @@
             capacityprobe.MESSAGES, ("1", "instances_near", "data_centres")
         ),
         capacityprobe.Line(
-            capacityprobe.MOVED, ("1", "instances_near", "data_centres")
+            capacityprobe.BYTES, ("1", "instances_near", "data_centres")
         ),
         capacityprobe.Line(
             capacityprobe.CPU, ("1", "instances_near", "data_centres")
@@ -122,7 +122,7 @@
     def run(self, sizes: capacityprobe.Sizes) -> capacityprobe.Values:
         return virtualloop.run(self._run(sizes))
 
-    def count_parts(self, sizes: capacityprobe.Sizes) -> float:
+    def count_instances(self, sizes: capacityprobe.Sizes) -> float:
         return sizes["instances_near"] * sizes["data_centres"]
 
     async def _run(self, sizes: capacityprobe.Sizes) -> capacityprobe.Values:
@@ -151,7 +151,7 @@
                     [nodes[0].membership]
                 ),
                 capacityprobe.MESSAGES: usage.messages * share,
-                capacityprobe.MOVED: usage.moved * share,
+                capacityprobe.BYTES: usage.byte_count * share,
                 capacityprobe.CPU: cpu_s * share,
                 "bytes_per_s_max": most / RUN_S,
                 capacityprobe.READS: usage.reads * share,
@@ -159,7 +159,7 @@
 
 
 class ChurnProbe(capacityprobe.Probe):
-    """Deaths and restarts within a data centre."""
+    """Crashes and restarts within a data centre."""
 
     name = "churn"
     role = "entry instance"
@@ -169,7 +169,7 @@
     )
     lines = (
         capacityprobe.Line(capacityprobe.MESSAGES, ("1", "restarts_per_s")),
-        capacityprobe.Line(capacityprobe.MOVED, ("1", "restarts_per_s")),
+        capacityprobe.Line(capacityprobe.BYTES, ("1", "restarts_per_s")),
         capacityprobe.Line(capacityprobe.CPU, ("1", "restarts_per_s")),
     )
     plan = tuple(
@@ -192,25 +192,25 @@
             pause_s = window_s / (restarts + 1)
             for number in range(restarts):
                 await fleet.timers.sleep(pause_s)
-                # Those that stay are the ones whose cost counts.
+                # Only the cost of instances that stay up is of interest.
                 victim = nodes[number % self.instances]
                 await fleet.kill(victim)
-                fresh = await fleet.start(victim.instance_id, DATA_CENTRE)
-                nodes[number % self.instances] = fresh
-                peers.append(fresh.peers)
+                restarted = await fleet.start(victim.instance_id, DATA_CENTRE)
+                nodes[number % self.instances] = restarted
+                peers.append(restarted.peers)
             await fleet.timers.sleep(pause_s)
             cpu_s = capacityprobe.read_cpu() - started_s
             usage = capacitymeter.read_usage(peers).subtract(usage)
             share = 1.0 / (window_s * self.instances)
             return {
                 capacityprobe.MESSAGES: usage.messages * share,
-                capacityprobe.MOVED: usage.moved * share,
+                capacityprobe.BYTES: usage.byte_count * share,
                 capacityprobe.CPU: cpu_s * share,
             }
 
 
 class CatalogueProbe(capacityprobe.Probe):
-    """Revisions brought to every instance."""
+    """Distribution of catalogue revisions to all instances."""
 
     name = "catalogue"
     role = "watcher of the catalogue"
@@ -232,7 +232,7 @@
         )
         for quantity in (
             capacityprobe.MESSAGES,
-            capacityprobe.MOVED,
+            capacityprobe.BYTES,
             capacityprobe.CPU,
         )
     ) + (
@@ -306,7 +306,7 @@
                     [followers[0]], (nodes[0].membership,)
                 ),
                 capacityprobe.MESSAGES: usage.messages * share,
-                capacityprobe.MOVED: usage.moved * share,
+                capacityprobe.BYTES: usage.byte_count * share,
                 capacityprobe.CPU: cpu_s * share,
                 capacityprobe.READS: usage.reads / RUN_S,
                 "watches": sum(x.is_watcher() for x in followers),
--- a/rhubarblock/experiments/capacity/lists.py
+++ b/rhubarblock/experiments/capacity/lists.py
@@ -1,4 +1,4 @@
-"""Probe of the platform's list as the instances of a data centre share it."""
+"""Probe of the platform's list, shared by the instances of a data centre."""
 
 import contextlib
 import random
@@ -21,7 +21,7 @@
 
 
 class ListRelayProbe(capacityprobe.Probe):
-    """The list read by two instances and passed on to the others."""
+    """The list, read by two instances and forwarded to the others."""
 
     name = "listrelay"
     role = "entry instance"
@@ -36,7 +36,7 @@
             capacityprobe.MESSAGES, ("1", "lines", "list_changes_per_s")
         ),
         capacityprobe.Line(
-            capacityprobe.MOVED,
+            capacityprobe.BYTES,
             (
                 "1",
                 "lines",
@@ -109,7 +109,7 @@
             share = 1.0 / (RUN_S * INSTANCES)
             return {
                 capacityprobe.MESSAGES: usage.messages * share,
-                capacityprobe.MOVED: usage.moved * share,
+                capacityprobe.BYTES: usage.byte_count * share,
                 capacityprobe.CPU: cpu_s * share,
                 capacityprobe.STATE: capacitymeter.measure_state(
                     [relays[0], watches[0].states],
@@ -122,7 +122,7 @@
 def make_line(
     number: int, address: str = "10.9.112.113:8000"
 ) -> instances.ListedInstance:
-    """Returns the line of an engine in the platform's list."""
+    """Returns the entry of an engine in the platform's list."""
     return instances.ListedInstance(
         f"engine-{number:04d}",
         address,
@@ -147,7 +147,7 @@
 def _make_watch(
     source: instances.InstanceSource, node: memoryfleet.FleetNode
 ) -> endpointwatch.EndpointWatch:
-    # No engine is ever asked here.
+    # The cluster is empty, because no load report is fetched here.
     client = enginecluster.MemoryEngineClient(
         enginecluster.EngineCluster(), node.timers, 0.0
     )
--- a/rhubarblock/experiments/capacity/measurement.py
+++ b/rhubarblock/experiments/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""The measurement ``capacity``: slopes of what control costs, by role."""
+"""The measurement ``capacity``: runs all probes and stores their series."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -9,12 +9,12 @@
 from rhubarblock.experiments import machine as machines
 from rhubarblock.experiments import slopes
 from rhubarblock.experiments.capacity import fleet as capacityfleet
+from rhubarblock.experiments.capacity import instance as capacityinstance
 from rhubarblock.experiments.capacity import lists as capacitylists
 from rhubarblock.experiments.capacity import platform as capacityplatform
 from rhubarblock.experiments.capacity import probe as capacityprobe
 from rhubarblock.experiments.capacity import routing as capacityrouting
 from rhubarblock.experiments.capacity import sockets as capacitysockets
-from rhubarblock.experiments.capacity import whole as capacitywhole
 
 SCENARIO = "capacity"
 
@@ -30,7 +30,7 @@
     capacityrouting.PlacementProbe,
     capacityplatform.OrdersProbe,
     capacityplatform.ClaimsProbe,
-    capacitywhole.WholeProbe,
+    capacityinstance.InstanceProbe,
 )
 
 
@@ -40,8 +40,8 @@
 
     Attributes:
       scenario: name of the measurement.
-      machine: where it ran.
-      series: the measurements with their lines.
+      machine: the machine on which it ran.
+      series: the measurements with their fits.
     """
 
     scenario: str
@@ -56,7 +56,7 @@
 
     Args:
       names: probes to run; empty for all.
-      progress: told the name of each probe before it runs.
+      progress: called with the name of each probe before it runs.
     """
     series = []
     for probe_class in PROBES:
@@ -73,10 +73,10 @@
 
 
 def decode_result(text: str) -> CapacityResult:
-    """Reads what ``encode_result`` made.
+    """Parses the output of ``encode_result``.
 
     Raises:
-      ValueError: it is something else.
+      ValueError: the text is no such result.
     """
     try:
         fields = json.loads(text)
--- a/rhubarblock/experiments/capacity/sockets.py
+++ b/rhubarblock/experiments/capacity/sockets.py
@@ -1,8 +1,8 @@
 """Probes over real sockets: load reports of engines and the platform's list.
 
-What HTTP costs decides here, so the answers come from a server in a thread of
-its own that sends canned bytes and counts them; the processor time is that of
-the asking thread alone.
+HTTP dominates the cost of both. The answers come from servers in another
+thread that send canned bytes and count them, so that the processor time is
+that of the client alone.
 """
 
 import abc
@@ -26,17 +26,17 @@
 from rhubarblock.routing.placement import loadtable
 from rhubarblock.store import instances
 
-# Seconds in which connections are opened, and that are measured.
+# Seconds to open connections, and of the measurement.
 WARM_S = 0.6
 RUN_S = 3.0
-# Answers that an engine of the two-year size runs at a time: its share of the
-# tokens a second, at 12 ms from token to token.
+# Answers that an engine generates at a time at the target size: its share of
+# the tokens a second, at 12 ms from token to token.
 RUNNING = 25
 _HEAD_END = b"\r\n\r\n"
 
 
 class CannedServer:
-    """Gives the same answer to every request.
+    """Sends the same answer to every request.
 
     Attributes:
       received: bytes received.
@@ -71,7 +71,7 @@
 
 
 class _CannedConnection(asyncio.Protocol):
-    """One connection; requests have no body and come one by one."""
+    """One connection; requests have no body and are not pipelined."""
 
     def __init__(self, server: CannedServer):
         self._server = server
@@ -88,8 +88,8 @@
             self._server.sent += len(self._server.answer)
 
 
-class _KnownList(instances.InstanceSource):
-    """A list of engines that was read before."""
+class _FixedList(instances.InstanceSource):
+    """A source that returns a fixed list of engines."""
 
     def __init__(self, listed: list[instances.ListedInstance]):
         self._listed = listed
@@ -109,22 +109,22 @@
     ):
         yield [
             await stack.enter_async_context(
-                loopthread.open_there(thread, server.run)
+                loopthread.open_in_thread(thread, server.run)
             )
             for server in servers
         ]
 
 
 class PollProbe(capacityprobe.Probe):
-    """What an instance asks of engines again and again.
+    """Periodic polling of engines by an instance.
 
     Attributes:
-      interval_s: seconds between two rounds.
+      interval_s: polling interval in seconds.
     """
 
     lines: tuple[capacityprobe.Line, ...] = (
         capacityprobe.Line(capacityprobe.MESSAGES, ("1", "endpoints")),
-        capacityprobe.Line(capacityprobe.MOVED, ("1", "endpoints")),
+        capacityprobe.Line(capacityprobe.BYTES, ("1", "endpoints")),
         capacityprobe.Line(capacityprobe.CPU, ("1", "endpoints")),
     )
     plan = tuple({"endpoints": float(x)} for x in (4, 8, 16, 32, 64))
@@ -132,11 +132,11 @@
 
     @abc.abstractmethod
     def make_answer(self, name: str) -> bytes:
-        """Returns what an engine answers."""
+        """Returns the body of an engine's answer."""
 
     @abc.abstractmethod
     async def poll(self, watch: endpointwatch.EndpointWatch) -> None:
-        """Asks every engine once."""
+        """Polls every engine once."""
 
     def run(self, sizes: capacityprobe.Sizes) -> capacityprobe.Values:
         return asyncio.run(self._run(int(sizes["endpoints"])))
@@ -157,7 +157,7 @@
                 capacitylists.make_line(n, x) for n, x in enumerate(addresses)
             ]
             table = loadtable.LoadTable()
-            watch = make_watch(_KnownList(listed), session, table, timers)
+            watch = make_watch(_FixedList(listed), session, table, timers)
             await watch.refresh_list()
             state = capacitymeter.measure_state
             with timers.subscribe(self.interval_s, lambda: self.poll(watch)):
@@ -172,7 +172,7 @@
             return {
                 capacityprobe.STATE: state([table, watch.states], (watch,)),
                 capacityprobe.MESSAGES: 2 * (after[0] - before[0]) / seconds,
-                capacityprobe.MOVED: (after[1] - before[1]) / seconds,
+                capacityprobe.BYTES: (after[1] - before[1]) / seconds,
                 capacityprobe.CPU: cpu_s / seconds,
             }
 
@@ -184,7 +184,7 @@
 
 
 class LoadProbe(PollProbe):
-    """Load reports that an entry instance asks of engines."""
+    """Load reports that an entry instance fetches from engines."""
 
     name = "loads"
     role = "entry instance"
@@ -209,7 +209,7 @@
 
 
 class CacheProbe(PollProbe):
-    """Cache events that the coordinator of a pool asks of its engines."""
+    """Cache events that the coordinator of a pool fetches from its engines."""
 
     name = "caches"
     role = "coordinator of endpoints"
@@ -238,7 +238,7 @@
     table: loadtable.LoadTable,
     timers: timer_service.Timers,
 ) -> endpointwatch.EndpointWatch:
-    """Returns the watch of an instance that coordinates every pool."""
+    """Returns the endpoint watch of an instance that coordinates all pools."""
     return endpointwatch.EndpointWatch(
         source=source,
         client=httpengine.HttpEngineClient(session),
@@ -250,7 +250,7 @@
 
 
 class ListProbe(capacityprobe.Probe):
-    """The platform's list, read straight from the platform."""
+    """The platform's list, read directly from the platform."""
 
     name = "list"
     role = "reader of the list"
@@ -260,7 +260,7 @@
         "endpoints."
     )
     lines = (
-        capacityprobe.Line(capacityprobe.MOVED, ("1", "lines")),
+        capacityprobe.Line(capacityprobe.BYTES, ("1", "lines")),
         capacityprobe.Line(capacityprobe.CPU, ("1", "lines")),
         capacityprobe.Line(capacityprobe.READS, ("1", "lines")),
         capacityprobe.Line(capacityprobe.STATE, ("1", "lines")),
@@ -298,7 +298,7 @@
                 cpu_s = capacityprobe.read_cpu() - started_s
                 after = _count([server])
             return {
-                capacityprobe.MOVED: (after[1] - before[1]) / seconds,
+                capacityprobe.BYTES: (after[1] - before[1]) / seconds,
                 capacityprobe.CPU: cpu_s / seconds,
                 capacityprobe.READS: (after[0] - before[0]) / seconds,
                 capacityprobe.STATE: capacitymeter.measure_state(
--- a/rhubarblock/experiments/endpointrests/__init__.py
+++ b/rhubarblock/experiments/endpointrests/__init__.py
@@ -1,4 +1,5 @@
-"""The scenario ``endpoint-rests``: are rests of endpoints told to peers?
+"""The scenario ``endpoint-rests``: sharing cool-downs of endpoints with peers.
 
-Others use ``scenario``. Read on in ``fleet``, ``ways`` and ``sheds``.
+``scenario`` is the interface to other packages; ``fleet`` has the instances,
+``ways`` the compared policies and ``sheddingendpoint`` the endpoints.
 """
--- a/rhubarblock/experiments/faults/__init__.py
+++ b/rhubarblock/experiments/faults/__init__.py
@@ -1,4 +1,5 @@
-"""The scenario ``faults``: seeded faults of every kind against real code.
+"""The scenario ``faults``: seeded fault injection against the real code.
 
-Others use ``scenario``. Read on in ``kinds`` and ``fleet``.
+``scenario`` is the interface to other packages; ``kinds`` has the faults and
+``fleet`` the simulated fleet.
 """
