--- a/rhubarblock/daemon/coordinators.py
+++ b/rhubarblock/daemon/coordinators.py
@@ -23,12 +23,12 @@
 
     def choose(self, duty: str) -> members.Member:
         """Returns the coordinator of a duty; this instance if it is alone."""
-        alive = self._members.live_instances()
+        alive = self._members.list_live_instances()
         return assignment.choose_coordinator(duty, alive) or self._members.own
 
     def count_instances(self) -> int:
         """Returns the number of live instances."""
-        return len(self._members.live_instances())
+        return len(self._members.list_live_instances())
 
     def find_coordinator(self, service: str) -> coordination.Coordinator:
         """Returns the placement coordinator of an engine service."""
@@ -63,6 +63,6 @@
         own = self._members.own.instance_id
         return [
             quarantines.Peer(member.instance_id, member.address)
-            for member in self._members.live_instances()
+            for member in self._members.list_live_instances()
             if member.instance_id != own
         ]
--- a/rhubarblock/daemon/fleetstatus.py
+++ b/rhubarblock/daemon/fleetstatus.py
@@ -38,7 +38,7 @@
     def _list_instances(self) -> tuple[statuses.InstanceStatus, ...]:
         own = self._instance.identity.instance_id
         found = []
-        for member in self._instance.membership.live_instances():
+        for member in self._instance.membership.list_live_instances():
             state = member.state.name.lower()
             revision = member.revision
             in_flight = None
--- a/rhubarblock/daemon/instance.py
+++ b/rhubarblock/daemon/instance.py
@@ -224,7 +224,7 @@
             self.identity.incarnation,
             self.coordinators.find_lender,
             lendingholders.ShareHolders(
-                self.outside.timers, self.membership.known_instances
+                self.outside.timers, self.membership.list_known_instances
             ).list_ids,
             self.catalogue.get,
             self._rng,
--- a/rhubarblock/experiments/fleet.py
+++ b/rhubarblock/experiments/fleet.py
@@ -381,7 +381,7 @@
 
 
 def _list_live(node: fleetbench.BenchNode) -> tuple[str, ...]:
-    live = node.node.membership.live_instances()
+    live = node.node.membership.list_live_instances()
     return tuple(sorted(member.instance_id for member in live))
 
 
--- a/rhubarblock/experiments/fleetchoices.py
+++ b/rhubarblock/experiments/fleetchoices.py
@@ -291,7 +291,7 @@
     started_s = fleet.timers.read_monotonic()
     elapsed_s = 0.0
     while elapsed_s < _LIMIT_S:
-        live = node.membership.live_instances()
+        live = node.membership.list_live_instances()
         if all(member.instance_id != instance_id for member in live):
             break
         await fleet.timers.sleep(_POLL_S)
--- a/rhubarblock/experiments/fleetsockets.py
+++ b/rhubarblock/experiments/fleetsockets.py
@@ -252,7 +252,7 @@
     ) -> float:
         elapsed_s = 0.0
         while elapsed_s < _LIMIT_S:
-            live = node.membership.live_instances()
+            live = node.membership.list_live_instances()
             if all(member.instance_id != instance_id for member in live):
                 break
             await self._timers.sleep(_POLL_S)
--- a/rhubarblock/fleet/distribution.py
+++ b/rhubarblock/fleet/distribution.py
@@ -164,7 +164,7 @@
           The revision by instance id; None for instances that do not respond.
         """
         limit = asyncio.Semaphore(_MAX_CONCURRENT_QUERIES)
-        live = self._membership.live_instances()
+        live = self._membership.list_live_instances()
         revisions = await asyncio.gather(
             *(self._query_revision(member, limit) for member in live)
         )
@@ -229,7 +229,7 @@
         own = self._membership.own
         watchers = assignment.choose_subset(
             f"catalogue/watch/{own.data_centre}",
-            self._membership.live_instances(own.data_centre),
+            self._membership.list_live_instances(own.data_centre),
             self._settings.watchers,
         )
         return any(member.instance_id == own.instance_id for member in watchers)
@@ -314,7 +314,7 @@
     def _order_peers(self) -> list[members.Member]:
         """Returns the data centre's instances in an order keyed by revision."""
         own = self._membership.own
-        live = self._membership.live_instances(own.data_centre)
+        live = self._membership.list_live_instances(own.data_centre)
         key = f"catalogue/tree/{self.revision}"
         return assignment.choose_subset(key, live, len(live))
 
@@ -356,7 +356,7 @@
         own = self._membership.own
         others = [
             member
-            for member in self._membership.live_instances()
+            for member in self._membership.list_live_instances()
             if member.instance_id != own.instance_id
         ]
         self._rng.shuffle(others)
@@ -368,7 +368,7 @@
         """Fetches from a peer whose heartbeats show a newer revision."""
         ahead = [
             member
-            for member in self._membership.live_instances()
+            for member in self._membership.list_live_instances()
             if member.revision > self.revision
         ]
         if ahead:
--- a/rhubarblock/fleet/endpointnotices.py
+++ b/rhubarblock/fleet/endpointnotices.py
@@ -152,7 +152,7 @@
         await asyncio.gather(
             *(
                 self._send(member.address, payload)
-                for member in self._membership.live_instances()
+                for member in self._membership.list_live_instances()
                 if member.instance_id != own_id
             )
         )
@@ -180,7 +180,7 @@
         own_id = self._membership.own.instance_id
         peers = [
             member
-            for member in self._membership.live_instances()
+            for member in self._membership.list_live_instances()
             if member.instance_id != own_id
         ]
         if not peers:
--- a/rhubarblock/fleet/listrelay.py
+++ b/rhubarblock/fleet/listrelay.py
@@ -102,7 +102,7 @@
 
     async def _fetch_from_any_peer(self) -> bool:
         own_id = self._membership.own.instance_id
-        for member in self._membership.live_instances():
+        for member in self._membership.list_live_instances():
             if member.instance_id != own_id and await self._fetch_from(member):
                 return bool(self._listed)
         return False
@@ -122,7 +122,7 @@
         own = self._membership.own
         return assignment.choose_subset(
             f"instances/read/{own.data_centre}",
-            self._membership.live_instances(own.data_centre),
+            self._membership.list_live_instances(own.data_centre),
             READERS,
         )
 
@@ -152,7 +152,7 @@
         own = self._membership.own
         notice = listrelay_pb2.ListRequest(digest=self._digest)
         payload = notice.SerializeToString()
-        for member in self._membership.live_instances(own.data_centre):
+        for member in self._membership.list_live_instances(own.data_centre):
             if member.instance_id == own.instance_id:
                 continue
             task = asyncio.ensure_future(self._notify(member, payload))
--- a/rhubarblock/fleet/membership/view.py
+++ b/rhubarblock/fleet/membership/view.py
@@ -88,7 +88,7 @@
         """The table of member records."""
         return self._table
 
-    def live_instances(
+    def list_live_instances(
         self, data_centre: str | None = None
     ) -> list[members.Member]:
         """Returns the instances that are alive and reachable.
@@ -111,7 +111,7 @@
             ]
         return list(live)
 
-    def known_instances(self) -> list[members.Member]:
+    def list_known_instances(self) -> list[members.Member]:
         """Returns the records of all known instances, reachable or not."""
         return self._table.list_members()
 
--- a/rhubarblock/fleet/orders.py
+++ b/rhubarblock/fleet/orders.py
@@ -142,7 +142,7 @@
         own = self._membership.own
         chosen = assignment.choose_coordinator(
             f"orders/{own.data_centre}/{service}",
-            self._membership.live_instances(own.data_centre),
+            self._membership.list_live_instances(own.data_centre),
         )
         return chosen is not None and chosen.instance_id == own.instance_id
 
--- a/rhubarblock/fleet/orphans.py
+++ b/rhubarblock/fleet/orphans.py
@@ -150,7 +150,8 @@
     def _is_coordinator(self, endpoint: endpoints.Endpoint) -> bool:
         """Returns whether this instance is the coordinator of an engine."""
         chosen = assignment.choose_coordinator(
-            f"endpoint/{endpoint.endpoint_id}", self._members.live_instances()
+            f"endpoint/{endpoint.endpoint_id}",
+            self._members.list_live_instances(),
         )
         return chosen is None or chosen.instance_id == self._own.instance_id
 
