--- a/rhubarblock/experiments/faults/kinds.py
+++ b/rhubarblock/experiments/faults/kinds.py
@@ -103,7 +103,7 @@
     kind = "engine_refuses"
 
     def break_engine(self) -> None:
-        self.engine.refuse(self.duration_s)
+        self.engine.refuse_connections(self.duration_s)
 
 
 class CrossedAnswers(EngineFault):
--- a/rhubarblock/experiments/fleetbench.py
+++ b/rhubarblock/experiments/fleetbench.py
@@ -286,7 +286,7 @@
         """Makes an engine refuse new work, as before a planned stop."""
         self.fleet.listing.mark_leaving(engine.endpoint_id)
         report = engine.make_load_report()
-        engine.obey(
+        engine.apply_order(
             attempts.Order(
                 engine.fence,
                 self._revision,
--- a/rhubarblock/experiments/platform/play.py
+++ b/rhubarblock/experiments/platform/play.py
@@ -350,21 +350,23 @@
                 ended.set()
 
         held = choice.job.parts[0].tokens
-        writer = passengine.Writer(held, arrival.events, record_event)
+        request = passengine.DecodeRequest(held, arrival.events, record_event)
         left = [count]
 
         def finish() -> None:
             left[0] -= 1
             if not left[0]:
-                first.start(writer)
+                first.start_decode(request)
 
         tokens = arrival.prompt_tokens / count
         for part in choice.job.parts[1:]:
-            self.engines[part.endpoint_id].help(
-                passengine.Part(tokens, part.prefill_s, finish)
+            self.engines[part.endpoint_id].prefill_for_peer(
+                passengine.PrefillPart(tokens, part.prefill_s, finish)
             )
-        own = passengine.Part(tokens, choice.job.parts[0].prefill_s, finish)
-        first.submit(writer, own)
+        own = passengine.PrefillPart(
+            tokens, choice.job.parts[0].prefill_s, finish
+        )
+        first.submit(request, own)
         await ended.wait()
         outcome.first_s = times[0] - arrival.at_s
         pauses = [b - a for a, b in zip(times, times[1:], strict=False)]
--- a/rhubarblock/standins/engine/cluster.py
+++ b/rhubarblock/standins/engine/cluster.py
@@ -155,7 +155,7 @@
         self, address: str, order: attempts.Order
     ) -> endpoints.LoadReport:
         engine = await self._connect(address)
-        state = engine.obey(order)
+        state = engine.apply_order(order)
         await self._return_answer(address)
         return state
 
--- a/rhubarblock/standins/engine/engine.py
+++ b/rhubarblock/standins/engine/engine.py
@@ -262,7 +262,7 @@
 
     # Orders.
 
-    def obey(self, order: attempts.Order) -> endpoints.LoadReport:
+    def apply_order(self, order: attempts.Order) -> endpoints.LoadReport:
         """Applies an order and returns the new state, without lag.
 
         Raises:
@@ -319,7 +319,7 @@
             self._run.notify_readers(engineexport.ReadEvent.STALLED)
         self._timers.call_later(seconds, self._resume)
 
-    def refuse(self, seconds: float = enginefaults.FOREVER) -> None:
+    def refuse_connections(self, seconds: float = enginefaults.FOREVER) -> None:
         """Refuses new connections for a while; open streams continue."""
         if seconds == enginefaults.FOREVER:
             self.faults.refuse_until_s = seconds
--- a/rhubarblock/standins/engine/server.py
+++ b/rhubarblock/standins/engine/server.py
@@ -196,7 +196,7 @@
     async def _orders(self, request: web.Request) -> web.StreamResponse:
         order = enginewire.parse_order(await request.read())
         return _make_json_response(
-            enginewire.encode_load(self._engine.obey(order))
+            enginewire.encode_load(self._engine.apply_order(order))
         )
 
     async def _faults(self, request: web.Request) -> web.StreamResponse:
