--- a/rhubarblock/experiments/capacity/fleet.py
+++ b/rhubarblock/experiments/capacity/fleet.py
@@ -18,7 +18,8 @@
 
 DATA_CENTRE = "osu-hall"
 OWNER = "operators"
-# Virtual seconds until the instances know each other, and of the measured run.
+# Virtual seconds until the instances have discovered each other, and of the
+# measured run.
 SETTLE_S = 6.0
 RUN_S = 20.0
 
@@ -37,21 +38,21 @@
       models: number of models.
     """
     limits = catalogues.Limits(60.0, 200_000.0, 4)
-    found = catalogues.Catalogue(revision=revision)
+    catalogue = catalogues.Catalogue(revision=revision)
     for number in range(workspaces):
         institution = f"institution-{number // 10}"
         name = f"{institution}/workspace-{number}"
-        found.institutions[institution] = catalogues.Institution(
+        catalogue.institutions[institution] = catalogues.Institution(
             institution, OWNER, limits
         )
-        found.workspaces[name] = catalogues.Workspace(
+        catalogue.workspaces[name] = catalogues.Workspace(
             name,
             OWNER,
             institution,
             requests.RequestClass.INTERACTIVE,
             limits,
         )
-        found.credentials[f"caller-{number}"] = catalogues.Credential(
+        catalogue.credentials[f"caller-{number}"] = catalogues.Credential(
             f"caller-{number}",
             OWNER,
             f"{number:064x}",
@@ -61,14 +62,16 @@
         )
     for number in range(models):
         service = f"pool-{number}"
-        found.services[service] = catalogues.Service(
+        catalogue.services[service] = catalogues.Service(
             service, OWNER, endpoints.EndpointKind.ENGINE, kv_tokens=400_000
         )
-        found.models[f"model-{number}"] = catalogues.Model(
+        catalogue.models[f"model-{number}"] = catalogues.Model(
             f"model-{number}", OWNER, "v1", service, 1_000_000
         )
-    found.places[DATA_CENTRE] = catalogues.Place(DATA_CENTRE, OWNER, "accra")
-    return found
+    catalogue.places[DATA_CENTRE] = catalogues.Place(
+        DATA_CENTRE, OWNER, "accra"
+    )
+    return catalogue
 
 
 class MembershipProbe(capacityprobe.Probe):
--- a/rhubarblock/experiments/capacity/measurement.py
+++ b/rhubarblock/experiments/capacity/measurement.py
@@ -76,7 +76,7 @@
     """Parses the output of ``encode_result``.
 
     Raises:
-      ValueError: the text is no such result.
+      ValueError: the text is not a result of ``capacity``.
     """
     try:
         fields = json.loads(text)
--- a/rhubarblock/experiments/capacity/meter.py
+++ b/rhubarblock/experiments/capacity/meter.py
@@ -127,7 +127,7 @@
     def wrap(self, handler: peertransport.Handler) -> peertransport.Handler:
         """Returns a measured handler; the wrapped one must not suspend.
 
-        Time spent in other tasks would count otherwise.
+        If it did, the time of other tasks would count as its own.
         """
 
         async def answer(sender: str, payload: bytes) -> bytes:
--- a/rhubarblock/experiments/capacity/platform.py
+++ b/rhubarblock/experiments/capacity/platform.py
@@ -70,9 +70,9 @@
 
     def run(self, sizes: capacityprobe.Sizes) -> capacityprobe.Values:
         pools, count = int(sizes["pools"]), int(sizes["endpoints"])
-        empty = virtualloop.run(self._run(pools, count, False))
+        baseline = virtualloop.run(self._run(pools, count, False))
         values = dict(virtualloop.run(self._run(pools, count, True)))
-        values[capacityprobe.CPU] -= empty[capacityprobe.CPU]
+        values[capacityprobe.CPU] -= baseline[capacityprobe.CPU]
         return values
 
     async def _run(
--- a/rhubarblock/experiments/capacity/routing.py
+++ b/rhubarblock/experiments/capacity/routing.py
@@ -30,7 +30,8 @@
 LIMITS_SETTLE_S = 12.0
 LIMITS_RUN_S = 5.0
 PLACE_RUN_S = 10.0
-# Seconds for which a placed prompt runs, and for which its prefill does.
+# Seconds from the placement of a prompt to its end, and to the end of its
+# prefill.
 GRANT_S = 4.0
 PREFILL_S = 0.5
 _POOL = "pool"
@@ -172,7 +173,7 @@
     timers: timer_service.Timers,
     meter: capacitymeter.HandlerMeter,
 ) -> list[_LimitsNode]:
-    """Returns instances that all know each other."""
+    """Returns instances, each of which has all of them as live members."""
     network = memorypeers.MemoryPeerNetwork(random.Random("network"))
     alive = [make_member(number) for number in range(count)]
     holders = frozenset(member.instance_id for member in alive)
--- a/rhubarblock/experiments/claimcost.py
+++ b/rhubarblock/experiments/claimcost.py
@@ -272,8 +272,8 @@
         try:
             return await call()
         except stores.StoreError as error:
-            late = timers.read_monotonic() >= end_s
-            if error.kind is not _Kind.RATE_LIMITED or late:
+            is_expired = timers.read_monotonic() >= end_s
+            if error.kind is not _Kind.RATE_LIMITED or is_expired:
                 raise
         await timers.sleep(backoff.take_delay())
 
@@ -383,7 +383,7 @@
         counters = self.store.counters
         writes = counters["write"] + counters["delete"]
         reads = counters["read"] + counters["list"]
-        moved = counters["write.bytes"] + counters["read.bytes"]
+        byte_count = counters["write.bytes"] + counters["read.bytes"]
         seconds = self.timers.read_monotonic()
         added_s = sorted(self.added_s)
         return ClaimCost(
@@ -396,7 +396,7 @@
             writes_per_claim=writes / count,
             writes_per_s=writes / seconds,
             reads_per_s=reads / seconds,
-            bytes_per_claim=moved / count,
+            bytes_per_claim=byte_count / count,
         )
 
 
--- a/rhubarblock/experiments/demo.py
+++ b/rhubarblock/experiments/demo.py
@@ -125,7 +125,8 @@
     """Sends prompts of both institutions over time and awaits all answers."""
     rng = random.Random(seed)
     prompts = [*FIXED_PROMPTS] + [
-        # Bounded, since the fixed prompts cover the longest lengths.
+        # Bounded to keep the run short; the fixed prompts cover the longest
+        # lengths.
         min(workload.draw_prompt(rng), 200_000)
         for _ in range(REQUESTS - len(FIXED_PROMPTS))
     ]
--- a/rhubarblock/experiments/endpointrests/policies.py
+++ b/rhubarblock/experiments/endpointrests/policies.py
@@ -94,12 +94,12 @@
             for endpoint in endpoints
             if not self._cooldowns.is_cooling_down(endpoint.endpoint_id, now_s)
         ]
-        sound = [
+        unprobed = [
             endpoint
             for endpoint in available
             if not self._cooldowns.is_probed(endpoint.endpoint_id, now_s)
         ]
-        return sound or available
+        return unprobed or available
 
 
 class SharedCooldowns(OwnCooldowns):
--- a/rhubarblock/experiments/faults/fleet.py
+++ b/rhubarblock/experiments/faults/fleet.py
@@ -73,7 +73,8 @@
     async def generate(
         self, address: str, attempt: attempts.Attempt
     ) -> AsyncGenerator[attempts.Chunk, None]:
-        # Recorded with the first chunk, since a refused attempt is no work.
+        # Recorded with the first chunk, since a refused attempt has none and
+        # must not count.
         entry: AcceptedAttempt | None = AcceptedAttempt(
             self._clock.read_monotonic(), address
         )
@@ -151,7 +152,7 @@
       poisons: digests that crash engines.
       lost_to_poison: number of engines that they crashed.
       load_started_s: when the load began, in monotonic seconds.
-      resent: prompts that a caller sent again after a lost connection.
+      resent: how often a prompt was sent again after a lost connection.
       background: tasks of operators and of senders of poison requests.
     """
 
@@ -189,8 +190,8 @@
 
     async def tear_down(self) -> None:
         """Cancels all tasks, including those of crashed instances."""
-        own = asyncio.current_task()
-        tasks = asyncio.all_tasks() - {own}
+        current = asyncio.current_task()
+        tasks = asyncio.all_tasks() - {current}
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -339,11 +340,11 @@
         deadline_s = self.timers.read_monotonic() + call.deadline_s
         record = CallRecord(call.idempotency_key, call.digest, deadline_s)
         self.calls.append(record)
-        tries = [
+        copies = [
             self._call(call, record, self._choose_node(turn + number))
             for number in range(sends)
         ]
-        await asyncio.gather(*tries)
+        await asyncio.gather(*copies)
         record.ended_s = self.timers.read_monotonic()
 
     async def _call(
@@ -353,12 +354,12 @@
         node: simulation.Node,
     ) -> None:
         request_id = node.instance.make_id()
-        own = dataclasses.replace(
+        copy = dataclasses.replace(
             call, request_id=request_id, deadline_s=record.deadline_s
         )
 
         async def run() -> None:
-            outcome = await node.instance.caller.call(own)
+            outcome = await node.instance.caller.call(copy)
             record.outcomes.append(outcome)
             record.request_ids.append(request_id)
 
--- a/rhubarblock/experiments/faults/kinds.py
+++ b/rhubarblock/experiments/faults/kinds.py
@@ -54,8 +54,8 @@
 
     async def begin(self, fleet: faultfleet.FaultFleet) -> None:
         # The busier of two engines, since a fault of an idle one tests little.
-        some = self.rng.sample(list(fleet.cluster), 2)
-        self.engine = max(some, key=lambda engine: len(engine.kv_held()))
+        candidates = self.rng.sample(list(fleet.cluster), 2)
+        self.engine = max(candidates, key=lambda engine: len(engine.kv_held()))
         self.break_engine()
 
     @abc.abstractmethod
@@ -292,8 +292,8 @@
     kind = "endpoint_leaves"
 
     async def begin(self, fleet: faultfleet.FaultFleet) -> None:
-        some = self.rng.sample(list(fleet.cluster), 2)
-        self.engine = max(some, key=lambda engine: len(engine.kv_held()))
+        candidates = self.rng.sample(list(fleet.cluster), 2)
+        self.engine = max(candidates, key=lambda engine: len(engine.kv_held()))
         now_s = fleet.timers.read_monotonic()
         fleet.leaving.append(
             faultfleet.Leaving(
@@ -344,7 +344,7 @@
 
 
 class ServiceCut(Fault):
-    """Connections to services break after a call ran, or answers cross."""
+    """Service connections break after a call ran, or answers are swapped."""
 
     kind = "service_cut"
 
--- a/rhubarblock/experiments/fleet.py
+++ b/rhubarblock/experiments/fleet.py
@@ -230,8 +230,8 @@
             now_s = self._timers.read_monotonic()
             for instance_id in self._bench.nodes:
                 key = (revision, instance_id)
-                came_s = self._bench.in_force_s.get(key, now_s)
-                taken_s.append(came_s - written_s)
+                in_force_s = self._bench.in_force_s.get(key, now_s)
+                taken_s.append(in_force_s - written_s)
         faults.drop_events_share = 0.0
         faults.reorder_events_share = 0.0
         return taken_s
@@ -327,7 +327,7 @@
         network.resume(holder.node.address)
 
     def _has_good_version(self) -> bool:
-        """Says whether every engine that stays runs the good version."""
+        """Says whether all engines but draining ones run the good version."""
         wanted = (f"{fleetbench.MODEL}@{_GOOD_VERSION}",)
         return all(
             engine.make_load_report().models == wanted
--- a/rhubarblock/experiments/fleetsockets.py
+++ b/rhubarblock/experiments/fleetsockets.py
@@ -111,7 +111,7 @@
             self._store, instancelist.InstanceListSettings(lag_s=0.0)
         )
         self._nodes: list[_Node] = []
-        self._false: set[str] = set()
+        self._false_deaths: set[str] = set()
 
     @contextlib.asynccontextmanager
     async def open(self) -> AsyncIterator[None]:
@@ -136,7 +136,7 @@
             round(max(in_force_s), 3),
             round(statistics.median(known_s), 3),
             round(max(known_s), 3),
-            len(self._false),
+            len(self._false_deaths),
             round(calls_per_s, 2),
             round(cpu_share, 5),
         )
@@ -191,7 +191,7 @@
         alive = {node.membership.own.instance_id for node in self._nodes}
         is_dead = member.state is members.MemberState.DEAD
         if is_dead and member.instance_id in alive:
-            self._false.add(member.instance_id)
+            self._false_deaths.add(member.instance_id)
 
     def _record_in_force(
         self, node: _Node, catalogue: catalogues.Catalogue
@@ -224,8 +224,8 @@
             await self._timers.sleep(_CHANGE_S)
             now_s = self._timers.read_monotonic()
             for node in self._nodes:
-                came_s = node.in_force_s.get(revision, now_s)
-                taken_s.append(came_s - started_s)
+                in_force_s = node.in_force_s.get(revision, now_s)
+                taken_s.append(in_force_s - started_s)
         return taken_s
 
     async def _kill_instances(self) -> list[float]:
--- a/rhubarblock/experiments/limits/fleet.py
+++ b/rhubarblock/experiments/limits/fleet.py
@@ -182,7 +182,7 @@
         )
 
     def _list_members(self) -> list[members.Member]:
-        """Returns all instances, those whose crash is detected as dead."""
+        """Returns all instances; detected crashes are marked as dead."""
         detected_before_s = self._timers.read_monotonic() - CRASH_DETECTION_S
         return [
             dataclasses.replace(node.member, state=members.MemberState.DEAD)
@@ -195,12 +195,13 @@
         """Returns the instances that an instance considers live."""
         now_s = self._timers.read_monotonic()
         is_cut = now_s - self._cut_s >= PARTITION_DETECTION_S
-        side = viewer.data_centre == self._cut_off
+        is_cut_off = viewer.data_centre == self._cut_off
         return [
             node.member
             for node in self.nodes
             if node.died_s > now_s - CRASH_DETECTION_S
             and not (
-                is_cut and (node.member.data_centre == self._cut_off) != side
+                is_cut
+                and (node.member.data_centre == self._cut_off) != is_cut_off
             )
         ]
--- a/rhubarblock/experiments/overhead/load.py
+++ b/rhubarblock/experiments/overhead/load.py
@@ -190,8 +190,8 @@
         read_monotonic = self._timers.read_monotonic
         stream = Stream(read_monotonic(), prompt_tokens)
         self.streams.append(stream)
-        kept: list[bytes] = []
-        keep = number % CHECK_EVERY == 0
+        received: list[bytes] = []
+        checks_text = number % CHECK_EVERY == 0
         try:
             async with self._session.post(
                 call.url, data=call.body, headers=call.headers
@@ -200,13 +200,13 @@
                     stream.arrived_s.append(read_monotonic())
                     stream.tokens += data.count(_TOKEN_START)
                     stream.complete = stream.complete or _DONE in data
-                    if keep:
-                        kept.append(data)
+                    if checks_text:
+                        received.append(data)
         except aiohttp.ClientError:
             stream.complete = False
-        if keep:
+        if checks_text:
             stream.has_correct_text = is_text_correct(
-                b"".join(kept), self._plan.tokens
+                b"".join(received), self._plan.tokens
             )
 
 
--- a/rhubarblock/experiments/platform/deployments.py
+++ b/rhubarblock/experiments/platform/deployments.py
@@ -1,9 +1,9 @@
 """The users' deployments: kinds of requests, engines and waves of load.
 
-The figures are those of the users' specification sheets, scaled to the share
-of the deployment that is simulated. How the users draw lengths is not
-published; here lengths are log-normal, with the spread of the sheet as the
-standard deviation of the logarithm.
+The figures are those that the users specify, scaled to the share of the
+deployment that is simulated. How the users draw lengths is not published; here
+lengths are log-normal, with the specified spread as the standard deviation of
+the logarithm.
 """
 
 import dataclasses
@@ -40,7 +40,7 @@
     """A kind of request.
 
     Attributes:
-      name: its name on the sheet.
+      name: its name, as the users specify it.
       per_s: requests a second.
       prompt: lengths of prompts in tokens.
       events: lengths of answers in events.
@@ -48,7 +48,7 @@
       pause_s: objective for the longest pause between events, in seconds.
       worth: value of an answer that meets both objectives.
       late_worth: value of a later answer.
-      event_tokens: tokens of one event, which are those of a stride.
+      event_tokens: tokens of one event, equal to the stride of the engine.
     """
 
     name: str
@@ -243,7 +243,7 @@
     Args:
       plan: the deployment.
       seed: seed of all draws.
-      load: factor on the rates of the sheet.
+      load: factor on the specified rates.
       length_s: seconds over which requests arrive.
     """
     rng = random.Random(seed)
--- a/rhubarblock/experiments/platform/scenario.py
+++ b/rhubarblock/experiments/platform/scenario.py
@@ -1,6 +1,6 @@
 """Simulates placement of prompts on modelled engines.
 
-Each instance places by its own job tracker, and learns of the placements of
+Each instance places by its own job tracker, and receives the placements of
 its peers after the network latency. The policy is the product's own code or a
 baseline. ``oracle`` is the product's policy with one job tracker for all
 instances, so its gain is the most that faster peer updates could bring.
@@ -118,7 +118,7 @@
       scenario: name of the deployment's scenario.
       policy: name of the policy.
       seed: seed of the run.
-      load: factor on the rates of the sheet.
+      load: factor on the specified rates.
       worth: share of the total worth of all requests that was earned.
       worst_windows: mean of that share in the two worst windows of two
         seconds.
@@ -147,7 +147,7 @@
       plan: the deployment.
       policy: a prompt policy, or ``oracle``.
       seed: seed of arrivals and lengths.
-      load: factor on the rates of the sheet.
+      load: factor on the specified rates.
       length_s: seconds over which requests arrive.
 
     Raises:
@@ -176,14 +176,14 @@
     arrivals: list[platformdeployments.Arrival],
 ) -> list[Outcome]:
     fleet = Fleet(plan, policy)
-    async with asyncio.TaskGroup() as working:
+    async with asyncio.TaskGroup() as engine_group:
         engines = [
-            working.create_task(engine.run())
+            engine_group.create_task(engine.run())
             for engine in fleet.engines.values()
         ]
-        async with asyncio.TaskGroup() as serving:
+        async with asyncio.TaskGroup() as request_group:
             tasks = [
-                serving.create_task(fleet.serve(arrival))
+                request_group.create_task(fleet.serve(arrival))
                 for arrival in arrivals
             ]
         for engine in engines:
--- a/rhubarblock/experiments/storereturn/restoredstore.py
+++ b/rhubarblock/experiments/storereturn/restoredstore.py
@@ -119,12 +119,12 @@
     async def delete(
         self, name: str, expected_version: positions.Position
     ) -> None:
-        raise NotImplementedError("no line is taken out here")
+        raise NotImplementedError("the scenario deletes no entries")
 
     def watch(
         self, prefix: str, after: positions.Position
     ) -> AsyncIterator[stores.StoredObject]:
-        raise NotImplementedError("nobody watches here")
+        raise NotImplementedError("the scenario uses no watches")
 
     async def _arrive(self, calls_s: list[float]) -> None:
         """Delays a call by half the round trip and records its arrival."""
--- a/rhubarblock/experiments/storereturn/scenario.py
+++ b/rhubarblock/experiments/storereturn/scenario.py
@@ -45,7 +45,7 @@
       lost: number of lost entries.
       whole_s: seconds from the restoration until all entries are written;
         None if some never were.
-      own_s: longest time from when an instance learned of the new era until
+      own_s: longest time from when an instance detected the new era until
         its lost entry was written; None as above.
       reads: reads of a single entry.
       lists: reads of all entries.
